--- a/crates/guava-daemon/src/admission_queue.rs
+++ b/crates/guava-daemon/src/admission_queue.rs
@@ -2,7 +2,8 @@
 
 use crate::lock::locked;
 use guava_policy::{
-    AdmitDecision, AdmitOptions, AdmitTurn, CustomerUse, FairAdmission, ReturnAfter, WaitingRequest,
+    AdmitDecision, AdmitOptions, CustomerUse, FairAdmission, QueueAction, ReturnAfter,
+    WaitingRequest,
 };
 use guava_types::{CustomerId, Deadline, FastMap, Moment};
 use std::sync::Mutex;
@@ -80,14 +81,14 @@
         let options = options(state);
         while let Some(turn) = state.fair.next(&options, Moment::now()) {
             match turn {
-                AdmitTurn::Start(request) => {
+                QueueAction::Start(request) => {
                     let woken = state.waiting.remove(&request.ticket).map(|s| s.send(true));
                     if woken != Some(Ok(())) {
                         state.fair.started();
                         state.fair.finish(&request.customer);
                     }
                 }
-                AdmitTurn::Shed(request) => {
+                QueueAction::Shed(request) => {
                     // A caller that is gone already needs no refusal.
                     state.waiting.remove(&request.ticket).map(|s| s.send(false));
                 }
--- a/crates/guava-daemon/src/upstream_words.rs
+++ b/crates/guava-daemon/src/announcement_handler.rs
@@ -12,8 +12,8 @@
 use crate::lock::locked;
 use guava_log::log_event;
 use guava_policy::{
-    AnswerWords, CloseReason, ClosedUpstream, LimitNotice, SendShare, WordNews, limit_share,
-    spread_rest, word_gate,
+    AnnouncementChange, CloseReason, ClosedUpstream, LimitNotice, SendShare, UpstreamAnnouncements,
+    announcement_gate, jitter_backoff, limit_share,
 };
 use guava_schema::peers::{GossipEntry, UpstreamLimit};
 use guava_types::{FastSet, Incarnation, LimitRate, Moment, UpstreamId};
@@ -49,9 +49,9 @@
 /// What closes an upstream to work, if anything does.
 pub fn closed(context: &DaemonContext, upstream: &UpstreamId) -> Option<ClosedUpstream> {
     let start = current_start(context, upstream);
-    let words = locked(&context.words);
+    let announcements = locked(&context.announcements);
     let share = |limit| own_share(context, upstream, limit);
-    word_gate(&words.table, &words.sends, &start, share, Moment::now())
+    announcement_gate(&announcements.table, &announcements.sends, &start, share, Moment::now())
 }
 
 /// Whether work may be sent to an upstream right now; notes it as sent.
@@ -62,19 +62,20 @@
     let start = current_start(context, upstream);
     let now = Moment::now();
     // Judged and noted under one lock: of two requests at the same moment one may be too many.
-    let mut words = locked(&context.words);
+    let mut announcements = locked(&context.announcements);
     let share = |limit| own_share(context, upstream, limit);
-    let is_open = word_gate(&words.table, &words.sends, &start, share, now).is_none();
+    let is_open =
+        announcement_gate(&announcements.table, &announcements.sends, &start, share, now).is_none();
     if is_open {
-        words.sends.note(&start, now);
-        words.table.note_send(&start);
+        announcements.sends.note(&start, now);
+        announcements.table.note_send(&start);
     }
     is_open
 }
 
 /// Whether an upstream asked for rest and wants no orders or exports either.
-pub fn is_resting(context: &DaemonContext, upstream: &UpstreamId) -> bool {
-    closed(context, upstream).is_some_and(|closed| closed.reason == CloseReason::Rest)
+pub fn is_backing_off(context: &DaemonContext, upstream: &UpstreamId) -> bool {
+    closed(context, upstream).is_some_and(|closed| closed.reason == CloseReason::BackOff)
 }
 
 /// Milliseconds until the first of some upstreams may get work again, if all are closed and that is
@@ -92,44 +93,47 @@
 }
 
 /// Takes in what an answer says of its upstream, to a request that was sent at some moment.
-pub fn note_words(
+pub fn note_announcements(
     context: &DaemonContext,
     upstream: &UpstreamId,
-    words: &AnswerWords,
+    announcements: &UpstreamAnnouncements,
     sent: Moment,
 ) {
-    if words.is_leaving {
+    if announcements.is_leaving {
         locked(&context.leaving).note_answer(upstream);
     }
     let now = Moment::now();
-    let rest_until = words.rest_until.map(|until| spread_rest(until, now, rand::random()));
-    let words = AnswerWords { is_leaving: false, rest_until, ..words.clone() };
+    let backoff_until =
+        announcements.backoff_until.map(|until| jitter_backoff(until, now, rand::random()));
+    let announcements =
+        UpstreamAnnouncements { is_leaving: false, backoff_until, ..announcements.clone() };
     let start = current_start(context, upstream);
-    let news = locked(&context.words).table.note_answer(&start, &words, sent, now);
-    news.iter().for_each(|news| log_news(&start, news, "answer", now));
+    let news = locked(&context.announcements).table.note_answer(&start, &announcements, sent, now);
+    news.iter().for_each(|news| log_announcement(&start, news, "answer", now));
 }
 
-fn log_news(upstream: &UpstreamId, news: &WordNews, source: &str, now: Moment) {
+fn log_announcement(upstream: &UpstreamId, news: &AnnouncementChange, source: &str, now: Moment) {
     log_event!(
         info,
         events::UPSTREAM_WORD,
         upstream = upstream,
-        word = news.word(),
+        word = news.kind(),
         value = news.value(now),
         source = source
     );
 }
 
 /// Adds the limits that this daemon knows to its gossip entry.
-pub fn tell(context: &DaemonContext, entry: &mut GossipEntry) {
+pub fn fill_entry(context: &DaemonContext, entry: &mut GossipEntry) {
     let now = Moment::now();
     let limit = |notice: LimitNotice| UpstreamLimit {
         upstream: notice.upstream.to_string(),
         thousandths: notice.rate.map(LimitRate::thousandths),
         age_ms: now.millis_since(notice.as_of),
     };
-    let words = locked(&context.words);
-    entry.limits = words.table.limit_notices(now).take(GOSSIPED_LIMITS).map(limit).collect();
+    let announcements = locked(&context.announcements);
+    entry.limits =
+        announcements.table.limit_notices(now).take(GOSSIPED_LIMITS).map(limit).collect();
 }
 
 /// Takes in the limits of a peer's entry.
@@ -140,8 +144,8 @@
         let rate = limit.thousandths.map(LimitRate::from_thousandths);
         let as_of = now.minus_millis(limit.age_ms);
         let notice = LimitNotice { upstream, rate, as_of };
-        let news = locked(&context.words).table.note_notice(&notice, now);
-        news.iter().for_each(|news| log_news(&notice.upstream, news, "peer", now));
+        let news = locked(&context.announcements).table.note_notice(&notice, now);
+        news.iter().for_each(|news| log_announcement(&notice.upstream, news, "peer", now));
     }
 }
 
@@ -150,5 +154,5 @@
     let view = context.state.view();
     let names: FastSet<&str> = view.upstreams.iter().map(|(id, _)| id.as_str()).collect();
     let now = Moment::now();
-    locked(&context.words).table.sweep(now, |start| names.contains(start.name()));
+    locked(&context.announcements).table.sweep(now, |start| names.contains(start.name()));
 }
--- a/crates/guava-daemon/src/word_state.rs
+++ b/crates/guava-daemon/src/announcement_state.rs
@@ -1,19 +1,19 @@
 //! What upstreams have said of themselves, and what this daemon has sent them.
 
-use guava_policy::{SendLedger, WordTable};
+use guava_policy::{AnnouncementTable, SendLedger};
 use guava_types::Moment;
 
 /// The words and the sends.
 #[derive(Debug)]
-pub struct WordState {
+pub struct AnnouncementState {
     /// By the upstream's start.
-    pub table: WordTable,
+    pub table: AnnouncementTable,
     /// By the upstream's start as well.
     pub sends: SendLedger,
 }
 
-impl Default for WordState {
+impl Default for AnnouncementState {
     fn default() -> Self {
-        Self { table: WordTable::default(), sends: SendLedger::new(Moment::now()) }
+        Self { table: AnnouncementTable::default(), sends: SendLedger::new(Moment::now()) }
     }
 }
--- a/crates/guava-daemon/src/cache_duty.rs
+++ b/crates/guava-daemon/src/cache_task.rs
@@ -1,12 +1,12 @@
 //! The cache duty: decides on exports of the prefixes that this daemon owns, carries them out,
 //! frees blocks; and answers where a prompt is cached.
 
+use crate::announcement_handler::is_backing_off;
 use crate::cache_index::{SealedEntry, SeenBefore};
 use crate::context::DaemonContext;
 use crate::events;
 use crate::export_ring::PrefixNote;
 use crate::lock::locked;
-use crate::upstream_words::is_resting;
 use guava_log::log_event;
 use guava_outside::{EngineClient, ExportOrder, StoreClient, StoreReport};
 use guava_policy::{BLOCK_TOKENS, ExportInput, PrefixHash, should_export};
@@ -127,7 +127,7 @@
     make_room(context, &task.store).await;
     let Some(engine) = context.state.view().upstream(&task.note.upstream).cloned() else { return };
     let is_leaving = locked(&context.leaving).is_leaving(&task.note.upstream);
-    if engine.draining || is_leaving || is_resting(context, &task.note.upstream) {
+    if engine.draining || is_leaving || is_backing_off(context, &task.note.upstream) {
         return;
     }
     let client = EngineClient { upstream: task.note.upstream.clone(), address: engine.address };
--- a/crates/guava-daemon/src/call_dispatch.rs
+++ b/crates/guava-daemon/src/call_dispatch.rs
@@ -5,17 +5,17 @@
 //! key is ever dispatched. A pinned key needs no append: its text names the one incarnation that
 //! dispatches it, from memory, for as long as it lives.
 
+use crate::announcement_handler::{closed, note_announcements, pass, reopens_in_ms};
 use crate::append_ring::{AppendBody, AppendVerdict};
 use crate::call_forward::{attach, forward_pinned};
 use crate::call_table::{CallEntry, wait_outcome};
 use crate::context::DaemonContext;
-use crate::crash_watch::{note_answer, note_break, stop_refusal};
+use crate::crash_watch::{note_answer, note_interrupted, stop_refusal};
 use crate::events;
 use crate::keyed_call::{COME_BACK_MS, KeyedCall, mismatch, wait_or_unknown};
 use crate::lock::locked;
 use crate::outcome::{CallOutcome, Refusal, RefusalKind};
 use crate::readiness::readiness_refusal;
-use crate::upstream_words::{closed, note_words, pass, reopens_in_ms};
 use guava_log::log_event;
 use guava_outside::{HttpError, ServiceCall, ServiceClient};
 use guava_state::{IntentEntry, IntentVerdict, UpstreamKind};
@@ -103,7 +103,7 @@
     pinned: PinnedKey,
 ) -> RunEnd {
     let now = Moment::now();
-    if pinned.minted > now || pinned.window_end().passed(now) {
+    if pinned.issued > now || pinned.window_end().passed(now) {
         let reason = "idempotency-key: its window has ended";
         return RunEnd::Elsewhere(call.refused(RefusalKind::BAD_REQUEST, reason, COME_BACK_MS));
     }
@@ -114,8 +114,8 @@
 }
 
 async fn run_logged(context: &Arc<DaemonContext>, call: &KeyedCall) -> RunEnd {
-    let minted = call.key.key.minted_wall().unwrap_or_default();
-    if minted.0 > WallTime::now().0 + MINTED_AHEAD_MS {
+    let issued = call.key.key.issued_wall().unwrap_or_default();
+    if issued.0 > WallTime::now().0 + MINTED_AHEAD_MS {
         let reason = "idempotency-key: its timestamp lies ahead of the clock";
         return RunEnd::Elsewhere(call.refused(RefusalKind::BAD_REQUEST, reason, COME_BACK_MS));
     }
@@ -276,7 +276,7 @@
         let called = client.call(&service_call(call), Deadline::in_millis(RUN_MS)).await;
         match called {
             Ok(answer) => {
-                note_words(context, &upstream, &answer.words, sent);
+                note_announcements(context, &upstream, &answer.announcements, sent);
                 note_answer(context, digest);
                 return RunEnd::Dispatched(CallOutcome::Done {
                     status: answer.status.as_u16(),
@@ -286,7 +286,7 @@
             }
             Err(error) if error.may_have_run() => {
                 if let HttpError::Broken { .. } = error {
-                    note_break(context, &upstream, digest);
+                    note_interrupted(context, &upstream, digest);
                 }
                 return RunEnd::Dispatched(CallOutcome::failed(error.to_string()));
             }
--- a/crates/guava-daemon/src/completion.rs
+++ b/crates/guava-daemon/src/completion.rs
@@ -1,9 +1,10 @@
 //! Completions: admitted, routed, started on an engine, and read until the first chunk is there.
 
 use crate::admit::{AdmitGuard, admit};
+use crate::announcement_handler::{note_announcements, pass};
 use crate::cache_messages::note_computed;
 use crate::context::DaemonContext;
-use crate::crash_watch::{note_break, stop_refusal};
+use crate::crash_watch::{note_interrupted, stop_refusal};
 use crate::engine_choice::{
     EngineChoice, PromptWork, choose_engine, engine_count, engines_reopen_in_ms,
 };
@@ -13,7 +14,6 @@
 use crate::outcome::{CallOutcome, Refusal, RefusalKind};
 use crate::readiness::readiness_refusal;
 use crate::run_feed::{FeedError, FeedStep, RunFeed};
-use crate::upstream_words::{note_words, pass};
 use crate::work_gauge::WorkGuard;
 use guava_log::log_event;
 use guava_outside::{CompletionOrder, HttpError, Usage};
@@ -275,8 +275,8 @@
     let order = order_of(caller, request, choice);
     let stream = match choice.client.complete(&order, head).await {
         Ok(stream) => stream,
-        Err(HttpError::Refused { status, text, words, loaded }) => {
-            note_words(context, upstream, &words, sent);
+        Err(HttpError::Refused { status, text, announcements, loaded }) => {
+            note_announcements(context, upstream, &announcements, sent);
             let reason = format!("answered {status}: {text}");
             let mut reports = locked(&context.reports);
             if let Some(loaded) = loaded {
@@ -289,20 +289,21 @@
         Err(error) => {
             locked(&context.loads).failed(upstream, Moment::now());
             if let (HttpError::Broken { .. }, Some(digest)) = (&error, caller.digest) {
-                note_break(context, upstream, digest);
+                note_interrupted(context, upstream, digest);
             }
             let text = error.to_string();
             let lost = error.may_have_run();
             return if lost { TryEnd::Lost(text) } else { TryEnd::Refused(text) };
         }
     };
-    note_words(context, upstream, &stream.words, sent);
+    note_announcements(context, upstream, &stream.announcements, sent);
     let client = choice.client.clone();
     let version = choice.version.clone();
     let mut feed = RunFeed::started(client, caller.request.clone(), version, stream);
-    let patience = choice.cost.worst_ms * PATIENCE_FACTOR + PATIENCE_MS;
+    let answer_timeout = choice.cost.worst_ms * PATIENCE_FACTOR + PATIENCE_MS;
     let left = caller.deadline.time_left();
-    let wait = if may_move_on { left.min(Duration::from_millis(patience as u64)) } else { left };
+    let wait =
+        if may_move_on { left.min(Duration::from_millis(answer_timeout as u64)) } else { left };
     match timeout(wait, feed.next()).await {
         Ok(Ok(first)) => {
             hold.started();
@@ -311,7 +312,7 @@
         Ok(Err(error)) => {
             locked(&context.loads).failed(upstream, Moment::now());
             if let Some(digest) = caller.digest {
-                note_break(context, upstream, digest);
+                note_interrupted(context, upstream, digest);
             }
             TryEnd::Lost(error.to_string())
         }
--- a/crates/guava-daemon/src/context.rs
+++ b/crates/guava-daemon/src/context.rs
@@ -4,6 +4,7 @@
 //! many read and one writes is published behind a short lock or an atomic pointer.
 
 use crate::admission_queue::AdmissionQueue;
+use crate::announcement_state::AnnouncementState;
 use crate::append_ring::AppendRing;
 use crate::cache_index::CacheIndex;
 use crate::call_table::CallTable;
@@ -20,11 +21,10 @@
 use crate::settings::DaemonSettings;
 use crate::shared_state::SharedState;
 use crate::stream_id::StreamSecret;
-use crate::word_state::WordState;
 use crate::work_gauge::WorkGauge;
 use guava_outside::{LogClient, StoreReport, VmListClient, WeightStoreClient};
 use guava_policy::{LinkTable, LoadTable, RetryBudget};
-use guava_state::{FreshnessInput, FreshnessVerdict, PeerSight};
+use guava_state::{FreshnessInput, FreshnessVerdict, PeerObservation};
 use guava_types::{FastMap, Incarnation, Moment, UpstreamId};
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU8, AtomicU64, Ordering};
@@ -63,7 +63,7 @@
     /// Upstreams that get no new work.
     pub leaving: Mutex<LeavingTable>,
     /// What upstreams say of themselves, and what was sent to them.
-    pub words: Mutex<WordState>,
+    pub announcements: Mutex<AnnouncementState>,
     /// Upstreams that ended under requests.
     pub crashes: CrashTable,
     /// Limits and queue.
@@ -126,7 +126,7 @@
             loads: Mutex::default(),
             reports: Mutex::default(),
             leaving: Mutex::default(),
-            words: Mutex::default(),
+            announcements: Mutex::default(),
             crashes: CrashTable::default(),
             admission: AdmissionQueue::default(),
             calls: CallTable::default(),
@@ -183,7 +183,7 @@
 
     fn with_freshness<T>(&self, judge: impl FnOnce(&FreshnessInput<'_>) -> T) -> T {
         let view = self.state.view();
-        let peers: Vec<PeerSight> = locked(&self.peer_table).sights();
+        let peers: Vec<PeerObservation> = locked(&self.peer_table).sights();
         let mut confirmed = locked(&self.confirmed);
         let input = FreshnessInput {
             now: Moment::now(),
--- a/crates/guava-daemon/src/crash_watch.rs
+++ b/crates/guava-daemon/src/crash_watch.rs
@@ -15,7 +15,7 @@
 use crate::outcome::{Refusal, RefusalKind};
 use guava_log::log_event;
 use guava_outside::is_listening;
-use guava_policy::{ClearNotice, LedgerNews, StopNotice};
+use guava_policy::{ClearNotice, LedgerChange, QuarantineNotice};
 use guava_schema::peers::{ClearedRequest, EndedUpstream, GossipEntry, StoppedRequest};
 use guava_state::RecordBody;
 use guava_types::{Deadline, Moment, RequestDigest, UpstreamId};
@@ -45,7 +45,7 @@
 /// Why a request is not sent, if upstreams end under it.
 pub fn stop_refusal(context: &DaemonContext, request: RequestDigest) -> Option<Refusal> {
     let now = Moment::now();
-    let until = locked(&context.crashes.ledger).stopped_until(request, now)?;
+    let until = locked(&context.crashes.ledger).quarantined_until(request, now)?;
     let reason = "upstreams ended under this request";
     Some(Refusal::later(RefusalKind::STOPPED, reason, until.millis_left(now)))
 }
@@ -59,7 +59,11 @@
 }
 
 /// Takes in that a send broke off after its upstream may have begun to run the request.
-pub fn note_break(context: &Arc<DaemonContext>, upstream: &UpstreamId, request: RequestDigest) {
+pub fn note_interrupted(
+    context: &Arc<DaemonContext>,
+    upstream: &UpstreamId,
+    request: RequestDigest,
+) {
     let instance =
         locked(&context.reports).get(upstream).map(|heard| heard.report.instance.clone());
     let at = Moment::now();
@@ -79,17 +83,19 @@
 async fn look(context: Arc<DaemonContext>, upstream: UpstreamId) {
     let Some(spec) = context.state.view().upstream(&upstream).cloned() else { return };
     if is_listening(spec.address, Deadline::in_millis(LOOK_MS)).await == Some(false) {
-        note_ended(&context, &upstream, |_| true);
+        note_crashed(&context, &upstream, |_| true);
     }
 }
 
 /// Takes in from which instance an upstream's report comes.
 pub fn note_instance(context: &DaemonContext, upstream: &UpstreamId, instance: &str) {
-    note_ended(context, upstream, |send| !send.instance.is_empty() && *send.instance != *instance);
+    note_crashed(context, upstream, |send| {
+        !send.instance.is_empty() && *send.instance != *instance
+    });
 }
 
 /// Takes in that the instances at which some sends broke off have ended.
-fn note_ended(
+fn note_crashed(
     context: &DaemonContext,
     upstream: &UpstreamId,
     has_ended: impl Fn(&BrokenSend) -> bool,
@@ -110,21 +116,22 @@
     if ended.is_empty() || locked(&context.leaving).is_leaving(upstream) {
         return;
     }
-    log_event!(info, events::UPSTREAM_ENDED, upstream = upstream, under = ended.len());
+    log_event!(info, events::UPSTREAM_CRASHED, upstream = upstream, under = ended.len());
     for send in ended {
         let start = start_of(upstream, &send.instance);
-        let news = locked(&context.crashes.ledger).note_end(&start, &[send.request], send.at, now);
+        let news =
+            locked(&context.crashes.ledger).note_crash(&start, &[send.request], send.at, now);
         take_news(context, &news);
         for request in news.stopped {
-            let times = locked(&context.crashes.ledger).times_stopped(request);
+            let times = locked(&context.crashes.ledger).quarantine_count(request);
             times.iter().for_each(|times| record_stop(context, request, *times));
         }
     }
 }
 
-fn take_news(context: &DaemonContext, news: &LedgerNews) {
+fn take_news(context: &DaemonContext, news: &LedgerChange) {
     for request in &news.stopped {
-        log_event!(warn, events::REQUEST_STOPPED, digest = request, source = "evidence");
+        log_event!(warn, events::REQUEST_QUARANTINED, digest = request, source = "evidence");
     }
     for request in &news.lifted {
         log_event!(info, events::REQUEST_CLEARED, digest = request, reason = "explained");
@@ -148,7 +155,7 @@
 ///
 /// A stopped request that the state lacks is appended again by some daemon of the fleet, each time by
 /// another one: who found it may have ended, or the log was away.
-pub fn tend(context: &DaemonContext, fleet: usize) {
+pub fn reconcile_ledger(context: &DaemonContext, fleet: usize) {
     let now = Moment::now();
     let stops = context.state.read(|state| state.stops().clone());
     {
@@ -158,7 +165,7 @@
         for (request, times) in &stops {
             let is_new = taken.insert((*request, *times));
             if is_new && ledger.note_record(*request, *times, now) {
-                log_event!(warn, events::REQUEST_STOPPED, digest = request, source = "log");
+                log_event!(warn, events::REQUEST_QUARANTINED, digest = request, source = "log");
             }
         }
     }
@@ -177,10 +184,10 @@
 }
 
 /// Adds what is known to this daemon's own entry.
-pub fn tell(context: &DaemonContext, entry: &mut GossipEntry) {
+pub fn fill_entry(context: &DaemonContext, entry: &mut GossipEntry) {
     let now = Moment::now();
     let ledger = locked(&context.crashes.ledger);
-    let recent = ledger.ends_since(now.minus_millis(GOSSIPED_MS)).take(GOSSIPED_ENDS);
+    let recent = ledger.crashes_since(now.minus_millis(GOSSIPED_MS)).take(GOSSIPED_ENDS);
     entry.ended = recent
         .map(|(upstream, at, requests)| EndedUpstream {
             upstream: upstream.to_string(),
@@ -213,7 +220,7 @@
         let Ok(upstream) = ended.upstream.parse::<UpstreamId>() else { continue };
         let requests: Vec<RequestDigest> = ended.requests.iter().filter_map(digest).collect();
         let at = now.minus_millis(ended.age_ms);
-        let news = locked(&context.crashes.ledger).note_end(&upstream, &requests, at, now);
+        let news = locked(&context.crashes.ledger).note_crash(&upstream, &requests, at, now);
         take_news(context, &news);
     }
     for cleared in &entry.cleared {
@@ -223,9 +230,9 @@
     }
     for stop in &entry.stopped {
         let Some(request) = digest(&stop.request) else { continue };
-        let notice = StopNotice { request, left_ms: stop.left_ms, times: stop.times };
-        if locked(&context.crashes.ledger).note_told(notice, now) {
-            log_event!(warn, events::REQUEST_STOPPED, digest = request, source = "peer");
+        let notice = QuarantineNotice { request, left_ms: stop.left_ms, times: stop.times };
+        if locked(&context.crashes.ledger).note_from_peer(notice, now) {
+            log_event!(warn, events::REQUEST_QUARANTINED, digest = request, source = "peer");
         }
     }
 }
--- a/crates/guava-daemon/src/engine_choice.rs
+++ b/crates/guava-daemon/src/engine_choice.rs
@@ -1,11 +1,11 @@
 //! Chooses an engine for a prompt: which version, which candidates, at what cost.
 
+use crate::announcement_handler::{closed, reopens_in_ms};
 use crate::cache_index::ReadGrant;
 use crate::cache_messages::{CacheAnswer, lookup};
 use crate::context::DaemonContext;
 use crate::events;
 use crate::lock::locked;
-use crate::upstream_words::{closed, reopens_in_ms};
 use guava_log::log_event;
 use guava_outside::{EngineClient, ImportOrder};
 use guava_policy::{
--- a/crates/guava-daemon/src/event_stream.rs
+++ b/crates/guava-daemon/src/event_stream.rs
@@ -2,7 +2,7 @@
 
 use crate::completion::{StartedRun, note_import};
 use crate::context::DaemonContext;
-use crate::crash_watch::{note_answer, note_break};
+use crate::crash_watch::{note_answer, note_interrupted};
 use crate::events;
 use crate::outcome::{CallOutcome, OUTCOME_HEADER, refusal_json};
 use crate::run_feed::{FeedError, FeedStep};
@@ -50,8 +50,8 @@
     }
 
     /// Takes in that the run broke off.
-    pub fn note_break(&self, context: &Arc<DaemonContext>, upstream: &UpstreamId) {
-        self.digest.iter().for_each(|digest| note_break(context, upstream, *digest));
+    pub fn note_interrupted(&self, context: &Arc<DaemonContext>, upstream: &UpstreamId) {
+        self.digest.iter().for_each(|digest| note_interrupted(context, upstream, *digest));
     }
 }
 
@@ -160,7 +160,7 @@
                 return;
             }
             Err(error) => {
-                owner.note_break(&context, &run.upstream);
+                owner.note_interrupted(&context, &run.upstream);
                 log_event!(warn, events::INCOMPLETE, request = owner.request, error = error);
                 let outcome = CallOutcome::failed(format!("incomplete answer: {error}"));
                 pass_on(&sender, error_event(&outcome)).await;
--- a/crates/guava-daemon/src/events.rs
+++ b/crates/guava-daemon/src/events.rs
@@ -35,9 +35,9 @@
     UPSTREAM_LEAVING "G5001" "upstream is leaving and gets no new work";
     UPSTREAM_BACK "G5002" "upstream serves again as a new instance";
     UPSTREAM_SILENT "G5003" "upstream gives no reports";
-    UPSTREAM_ENDED "G5004" "upstream ended under requests";
+    UPSTREAM_CRASHED "G5004" "upstream ended under requests";
     UPSTREAM_WORD "G5007" "upstream says something of itself";
-    REQUEST_STOPPED "G5005" "request is stopped: upstreams end under it";
+    REQUEST_QUARANTINED "G5005" "request is stopped: upstreams end under it";
     REQUEST_CLEARED "G5006" "request is not held against upstreams' ends any more";
     EXPORTED "G6001" "prefix exported to a store";
     EXPORT_DECLINED "G6002" "prefix not exported";
--- a/crates/guava-daemon/src/front.rs
+++ b/crates/guava-daemon/src/front.rs
@@ -95,7 +95,7 @@
             ([(OUTCOME_HEADER, "done")], Json(body)).into_response()
         }
         Err(error) => {
-            owner.note_break(context, &run.upstream);
+            owner.note_interrupted(context, &run.upstream);
             CallOutcome::failed(format!("incomplete answer: {error}")).into_response()
         }
     }
@@ -155,15 +155,15 @@
 /// Mints a key that this incarnation alone dispatches, without the log.
 async fn mint_key(State(context): SharedContext, headers: HeaderMap) -> Response<Body> {
     let request = new_request_id();
-    let minted = caller_info(&context, &request, &headers).and_then(|caller| {
+    let issued = caller_info(&context, &request, &headers).and_then(|caller| {
         check_readiness(&context, &caller)?;
         Ok(CallerKey::Pinned(PinnedKey {
             incarnation: context.me,
-            minted: Moment::now(),
+            issued: Moment::now(),
             nonce: rand::random(),
         }))
     });
-    match minted {
+    match issued {
         Ok(key) => {
             let address = context.settings.callers.advertise;
             Json(serde_json::json!({ "key": key, "address": address })).into_response()
--- a/crates/guava-daemon/src/gossip_codec.rs
+++ b/crates/guava-daemon/src/gossip_codec.rs
@@ -1,13 +1,13 @@
 //! Gossip entries as messages.
 
+use crate::announcement_handler;
 use crate::context::DaemonContext;
 use crate::crash_watch;
 use crate::daemon_phase::DaemonPhase;
 use crate::lock::locked;
 use crate::peer_table::{PeerEntry, PeerIdentity, short_hash};
-use crate::upstream_words;
 use guava_schema::peers::{CustomerLoad, GossipEntry, LeavingUpstream, MemberInfo, UpstreamLoad};
-use guava_state::LogSight;
+use guava_state::LogObservation;
 use guava_types::{Incarnation, Moment, Offset, TokenCount};
 
 /// Entries of the busiest upstreams and customers.
@@ -86,8 +86,8 @@
             .collect(),
         ..GossipEntry::default()
     };
-    crash_watch::tell(context, &mut entry);
-    upstream_words::tell(context, &mut entry);
+    crash_watch::fill_entry(context, &mut entry);
+    announcement_handler::fill_entry(context, &mut entry);
     entry
 }
 
@@ -180,7 +180,7 @@
         return;
     };
     crash_watch::learn(context, &message);
-    upstream_words::learn(context, &message);
+    announcement_handler::learn(context, &message);
     let leaving = message
         .leaving
         .iter()
@@ -192,7 +192,7 @@
         next: Offset(message.next_offset),
         log: message
             .log_end
-            .map(|end| LogSight { end: Offset(end), seen: moment_of(message.log_age_ms) }),
+            .map(|end| LogObservation { end: Offset(end), seen: moment_of(message.log_age_ms) }),
         identity,
         loads: message
             .loads
--- a/crates/guava-daemon/src/gossip_duty.rs
+++ b/crates/guava-daemon/src/gossip_task.rs
@@ -115,10 +115,10 @@
     let silent: Vec<Incarnation> = {
         let peers = locked(&context.peer_table);
         let others = view.roster.iter().filter(|member| **member != context.me);
-        others.filter(|member| !peers.is_heard(**member, now)).copied().collect()
+        others.filter(|member| !peers.is_reachable(**member, now)).copied().collect()
     };
-    let turn_ms = u64::from(rand::random::<u8>()) * TURN_STEP_MS;
-    for member in watch.due(&silent, context.reaches_majority(), turn_ms, now) {
+    let stagger_ms = u64::from(rand::random::<u8>()) * TURN_STEP_MS;
+    for member in watch.due(&silent, context.reaches_majority(), stagger_ms, now) {
         log_event!(warn, events::MEMBER_EVICTED, member = member);
         let body = own_record(context, RecordBody::Evict { incarnation: member });
         context.appends.append_later(body, Deadline::in_millis(EVICT_TRY_MS));
@@ -147,7 +147,7 @@
             });
         }
         evict_silent(&context, &mut evictions);
-        crash_watch::tend(&context, fleet);
+        crash_watch::reconcile_ledger(&context, fleet);
         locked(&context.peer_table).forget_old(Moment::now());
         let current = context.freshness();
         if freshness.replace(current) != Some(current) {
--- a/crates/guava-daemon/src/log_duty.rs
+++ b/crates/guava-daemon/src/log_task.rs
@@ -33,13 +33,13 @@
 const OUTAGE_MS: u64 = 5_000;
 
 /// The log duty's own state.
-pub struct LogDuty {
+pub struct LogTask {
     context: Arc<DaemonContext>,
     committer: Arc<AppendCommitter>,
     snapshots: SnapshotTurn,
 }
 
-impl LogDuty {
+impl LogTask {
     /// The duty of a daemon.
     pub fn new(context: Arc<DaemonContext>) -> Self {
         let committer = Arc::new(AppendCommitter::new(Arc::clone(&context)));
--- a/crates/guava-daemon/src/operator_server.rs
+++ b/crates/guava-daemon/src/operator_server.rs
@@ -178,7 +178,7 @@
         let in_force = members.iter().filter(|(id, _)| has(id)).map(name).collect();
         let missing = members.iter().filter(|(id, _)| !has(id)).map(name).collect();
         let now = Moment::now();
-        let is_waiting = members.keys().any(|id| !has(id) && peers.is_heard(*id, now));
+        let is_waiting = members.keys().any(|id| !has(id) && peers.is_reachable(*id, now));
         (in_force, missing, is_waiting)
     }
 }
@@ -215,13 +215,13 @@
     }];
     let peers = locked(&context.peer_table);
     for (incarnation, entry) in peers.iter() {
-        let is_heard = peers.is_heard(incarnation, now);
+        let is_reachable = peers.is_reachable(incarnation, now);
         daemons.push(DaemonStatus {
             name: entry.identity.name.to_string(),
             incarnation: incarnation.to_string(),
             data_centre: entry.identity.data_centre.to_string(),
             caller_address: entry.identity.caller_address.to_string(),
-            phase: if is_heard { entry.phase.name() } else { "silent" }.into(),
+            phase: if is_reachable { entry.phase.name() } else { "silent" }.into(),
             next_offset: entry.next.0,
             heard_ms: now.millis_since(entry.made),
         });
@@ -332,7 +332,7 @@
         let context = &self.context;
         let freshness = match context.freshness() {
             FreshnessVerdict::LogSeen => "log-seen",
-            FreshnessVerdict::MajorityHeard => "majority-heard",
+            FreshnessVerdict::MajorityReachable => "majority-heard",
             FreshnessVerdict::Stale => "stale",
         };
         let (leases, held_keys) = context.state.read(|state| {
--- a/crates/guava-daemon/src/order_duty.rs
+++ b/crates/guava-daemon/src/order_task.rs
@@ -4,12 +4,12 @@
 //! orders are absolute ("be at this version"), and a new holder waits until the flight time of the
 //! last holder's orders is over before it reads what is and orders what should be.
 
+use crate::announcement_handler::is_backing_off;
 use crate::append_commit::own_record;
 use crate::context::DaemonContext;
 use crate::daemon_phase::DaemonPhase;
 use crate::events;
 use crate::lock::locked;
-use crate::upstream_words::is_resting;
 use guava_log::log_event;
 use guava_outside::{EngineClient, LoadOrder};
 use guava_state::{LeaseRequest, LeaseWatch, RecordBody, UpstreamKind, UpstreamSpec};
@@ -30,7 +30,7 @@
 /// An order whose effect is not reported by then is given again.
 const REPEAT_MS: u64 = 5_000;
 
-struct OrderDuty {
+struct OrderTask {
     context: Arc<DaemonContext>,
     lease: LeaseWatch,
     asked_at: Moment,
@@ -41,7 +41,7 @@
 
 /// Runs until the process ends.
 pub async fn run(context: Arc<DaemonContext>) {
-    let mut duty = OrderDuty {
+    let mut duty = OrderTask {
         context,
         lease: LeaseWatch::default(),
         asked_at: Moment::default(),
@@ -56,7 +56,7 @@
     }
 }
 
-impl OrderDuty {
+impl OrderTask {
     fn keep_lease(&mut self) {
         let now = Moment::now();
         let me = self.context.me;
@@ -98,7 +98,7 @@
             // Looked up for each order: the lease may have ended while the last one was under way.
             let Some(token) = self.lease.token(now) else { return };
             let is_leaving = locked(&self.context.leaving).is_leaving(&upstream);
-            if is_leaving || is_resting(&self.context, &upstream) {
+            if is_leaving || is_backing_off(&self.context, &upstream) {
                 continue;
             }
             let client = EngineClient { upstream: upstream.clone(), address: spec.address };
--- a/crates/guava-daemon/src/peer_server.rs
+++ b/crates/guava-daemon/src/peer_server.rs
@@ -3,7 +3,7 @@
 use crate::cache_messages::{answer_adopt, answer_lookup, answer_note};
 use crate::call_answer::{answer_attach, answer_pinned};
 use crate::context::DaemonContext;
-use crate::gossip_duty::answer_exchange;
+use crate::gossip_task::answer_exchange;
 use crate::outcome::CallOutcome;
 use crate::peer_links::MAX_MESSAGE_BYTES;
 use guava_schema::peers::peers_server::{Peers, PeersServer};
--- a/crates/guava-daemon/src/peer_table.rs
+++ b/crates/guava-daemon/src/peer_table.rs
@@ -6,7 +6,7 @@
 
 use crate::daemon_phase::DaemonPhase;
 use guava_policy::PrefixHash;
-use guava_state::{LogSight, PeerSight};
+use guava_state::{LogObservation, PeerObservation};
 use guava_types::{
     CustomerId, DataCentre, FastMap, Incarnation, MemberName, Moment, Offset, TokenCount,
     UpstreamId,
@@ -48,7 +48,7 @@
     /// The first offset that it has not applied.
     pub next: Offset,
     /// Its last sight of the log's end.
-    pub log: Option<LogSight>,
+    pub log: Option<LogObservation>,
     /// Who it is.
     pub identity: PeerIdentity,
     /// Tokens that it has waiting, by short hash of the upstream.
@@ -146,15 +146,15 @@
     }
 
     /// Whether a daemon was heard lately.
-    pub fn is_heard(&self, incarnation: Incarnation, now: Moment) -> bool {
+    pub fn is_reachable(&self, incarnation: Incarnation, now: Moment) -> bool {
         let silent_after = self.silent_after_ms();
         self.get(incarnation).is_some_and(|entry| now.millis_since(entry.made) < silent_after)
     }
 
     /// What the freshness rule needs.
-    pub fn sights(&self) -> Vec<PeerSight> {
+    pub fn sights(&self) -> Vec<PeerObservation> {
         self.iter()
-            .map(|(incarnation, entry)| PeerSight {
+            .map(|(incarnation, entry)| PeerObservation {
                 incarnation,
                 heard: entry.made,
                 log: entry.log,
--- a/crates/guava-daemon/src/service_front.rs
+++ b/crates/guava-daemon/src/service_front.rs
@@ -1,5 +1,6 @@
 //! Calls of plain services.
 
+use crate::announcement_handler::{note_announcements, pass};
 use crate::call_dispatch::{call_once, come_back_ms, open_instances};
 use crate::caller_request::{
     KEY_HEADER, MAX_BODY_BYTES, SharedContext, bad_request, caller_info, drain_body, finish,
@@ -7,12 +8,11 @@
 };
 use crate::completion::{CallerInfo, check_readiness};
 use crate::context::DaemonContext;
-use crate::crash_watch::{note_answer, note_break, stop_refusal};
+use crate::crash_watch::{note_answer, note_interrupted, stop_refusal};
 use crate::events;
 use crate::keyed_call::{KeyedCall, call_digest};
 use crate::lock::locked;
 use crate::outcome::{CallOutcome, Refusal, RefusalKind};
-use crate::upstream_words::{note_words, pass};
 use axum::body::Body;
 use axum::extract::{Path, Request, State};
 use axum::http::Response;
@@ -150,7 +150,7 @@
         let sent = Moment::now();
         match (ServiceClient { address }).call(&call, caller.deadline).await {
             Ok(answer) => {
-                note_words(context, &upstream, &answer.words, sent);
+                note_announcements(context, &upstream, &answer.announcements, sent);
                 note_answer(context, digest);
                 return CallOutcome::Done {
                     status: answer.status.as_u16(),
@@ -160,7 +160,7 @@
             }
             Err(error) => {
                 if let HttpError::Broken { .. } = error {
-                    note_break(context, &upstream, digest);
+                    note_interrupted(context, &upstream, digest);
                 }
                 may_have_run |= error.may_have_run();
                 last = error.to_string();
--- a/crates/guava-daemon/src/shared_state.rs
+++ b/crates/guava-daemon/src/shared_state.rs
@@ -1,7 +1,9 @@
 //! The folded state, as the log duty writes it and everybody reads it.
 
 use arc_swap::ArcSwap;
-use guava_state::{FleetState, FoldOutcome, LogSight, ObjectKind, UpstreamSpec, WeightProfile};
+use guava_state::{
+    FleetState, FoldOutcome, LogObservation, ObjectKind, UpstreamSpec, WeightProfile,
+};
 use guava_types::{CustomerId, FastMap, Incarnation, Moment, Offset, UpstreamId};
 use std::sync::{Arc, Mutex, PoisonError, RwLock};
 use tokio::sync::watch;
@@ -55,7 +57,7 @@
     fleet: RwLock<FleetState>,
     view: ArcSwap<ConfigView>,
     progress: watch::Sender<Offset>,
-    sight: Mutex<Option<LogSight>>,
+    sight: Mutex<Option<LogObservation>>,
 }
 
 impl Default for SharedState {
@@ -86,13 +88,14 @@
     }
 
     /// This daemon's last sight of the log's end.
-    pub fn log_sight(&self) -> Option<LogSight> {
+    pub fn log_sight(&self) -> Option<LogObservation> {
         *self.sight.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Notes that the log was read to an end that it had no earlier than `seen`.
     pub fn note_sight(&self, end: Offset, seen: Moment) {
-        *self.sight.lock().unwrap_or_else(PoisonError::into_inner) = Some(LogSight { end, seen });
+        *self.sight.lock().unwrap_or_else(PoisonError::into_inner) =
+            Some(LogObservation { end, seen });
     }
 
     /// Folds one record.
--- a/crates/guava-daemon/src/snapshot_turn.rs
+++ b/crates/guava-daemon/src/snapshot_turn.rs
@@ -47,7 +47,7 @@
         let view = self.context.state.view();
         let peers = locked(&self.context.peer_table);
         let now = Moment::now();
-        let alive = view.roster.iter().filter(|member| peers.is_heard(**member, now));
+        let alive = view.roster.iter().filter(|member| peers.is_reachable(**member, now));
         alive.filter(|member| weight(member) < own).count() as u64
     }
 
--- a/crates/guava-daemon/src/start.rs
+++ b/crates/guava-daemon/src/start.rs
@@ -5,7 +5,7 @@
 use crate::events;
 use crate::export_ring::ExportRing;
 use crate::listener::serve_listener;
-use crate::log_duty::LogDuty;
+use crate::log_task::LogTask;
 use crate::metrics::MetricSink;
 use crate::operator_server::operator_service;
 use crate::peer_links::PeerLinks;
@@ -14,7 +14,7 @@
 use crate::shutdown::{drain, wait_for_signal};
 use crate::stream_id::{SecretError, StreamSecret};
 use crate::tls::{PeerTls, TlsError, TlsKeeper};
-use crate::{cache_duty, front, gossip_duty, order_duty, watch_duty};
+use crate::{cache_task, front, gossip_task, order_task, watch_task};
 use axum::Router;
 use guava_log::log_event;
 use guava_log::{LogError, set_up_logging};
@@ -135,15 +135,15 @@
     let stop = watch::Sender::new(false);
 
     let shared = Arc::clone(&context);
-    start_duty("log", move || LogDuty::new(shared).run(commands))?;
+    start_duty("log", move || LogTask::new(shared).run(commands))?;
     let shared = Arc::clone(&context);
-    start_duty("gossip", move || gossip_duty::run(shared))?;
+    start_duty("gossip", move || gossip_task::run(shared))?;
     let shared = Arc::clone(&context);
-    start_duty("watch", move || watch_duty::run(shared))?;
+    start_duty("watch", move || watch_task::run(shared))?;
     let shared = Arc::clone(&context);
-    start_duty("cache", move || cache_duty::run(shared, notes))?;
+    start_duty("cache", move || cache_task::run(shared, notes))?;
     let shared = Arc::clone(&context);
-    start_duty("orders", move || order_duty::run(shared))?;
+    start_duty("orders", move || order_task::run(shared))?;
 
     let mut listeners = Vec::new();
     for (name, bound) in [("front", callers), ("peers", peers), ("operators", operators)] {
--- a/crates/guava-daemon/src/watch_duty.rs
+++ b/crates/guava-daemon/src/watch_task.rs
@@ -3,12 +3,12 @@
 //! A daemon watches a bounded number of upstreams, chosen by rendezvous, and routes among those;
 //! in a small deployment that is all of them.
 
+use crate::announcement_handler;
 use crate::context::DaemonContext;
 use crate::crash_watch;
 use crate::daemon_phase::DaemonPhase;
 use crate::events;
 use crate::lock::locked;
-use crate::upstream_words;
 use guava_log::log_event;
 use guava_outside::{CacheEvents, EngineClient, EngineReport};
 use guava_policy::LoadReport;
@@ -80,7 +80,7 @@
         locked(&context.reports).retain(is_known);
         let view = context.state.view();
         locked(&context.leaving).retain(|id| view.upstream(id).is_some());
-        upstream_words::sweep(&context);
+        announcement_handler::sweep(&context);
         for (id, spec) in &upstreams {
             if !watchers.contains_key(id) {
                 let watch = watch_upstream(Arc::clone(&context), id.clone(), spec.clone());
--- a/crates/guava-outside/src/engine.rs
+++ b/crates/guava-outside/src/engine.rs
@@ -3,7 +3,7 @@
 
 use crate::http_link::{self, HttpError};
 use bytes::BytesMut;
-use guava_policy::AnswerWords;
+use guava_policy::UpstreamAnnouncements;
 use guava_types::{Deadline, FastMap, ModelName, Offset, TokenCount, UpstreamId, VersionName};
 use http::Method;
 use http_body_util::BodyExt;
@@ -101,7 +101,7 @@
     /// The run's id, told before the first chunk.
     pub run: Option<Box<str>>,
     /// What the engine says of itself.
-    pub words: AnswerWords,
+    pub announcements: UpstreamAnnouncements,
     body: Incoming,
     buffer: BytesMut,
 }
@@ -255,8 +255,8 @@
         }
         let run = response.headers().get(RUN_HEADER).and_then(|value| value.to_str().ok());
         let run = run.map(Box::from);
-        let words = http_link::answer_words(&response);
-        Ok(EngineStream { run, words, body: response.into_body(), buffer: BytesMut::new() })
+        let announcements = http_link::upstream_announcements(&response);
+        Ok(EngineStream { run, announcements, body: response.into_body(), buffer: BytesMut::new() })
     }
 
     /// Starts a run.
--- a/crates/guava-outside/src/http_link.rs
+++ b/crates/guava-outside/src/http_link.rs
@@ -5,7 +5,7 @@
 //! send would double a call that may run only once.
 
 use bytes::{Bytes, BytesMut};
-use guava_policy::AnswerWords;
+use guava_policy::UpstreamAnnouncements;
 use guava_types::{Deadline, Moment, VersionName};
 use http::header::{CONTENT_TYPE, HOST, HeaderName, RETRY_AFTER};
 use http::{HeaderValue, Method, Request, Response, StatusCode};
@@ -76,7 +76,7 @@
         /// The beginning of its answer.
         text: Box<str>,
         /// What it says of itself.
-        words: AnswerWords,
+        announcements: UpstreamAnnouncements,
         /// Of an engine that refused a version, the one that it has loaded.
         loaded: Option<VersionName>,
     },
@@ -200,32 +200,37 @@
 }
 
 /// What the head of an answer says of the upstream that gives it.
-pub(crate) fn answer_words(response: &Response<Incoming>) -> AnswerWords {
+pub(crate) fn upstream_announcements(response: &Response<Incoming>) -> UpstreamAnnouncements {
     let headers = response.headers();
     let values = |name: &HeaderName| headers.get_all(name).iter().map(HeaderValue::as_bytes);
-    let mut words = AnswerWords::default();
-    words.read_limit(values(&UPSTREAM_LIMIT));
-    words.read_leaving(values(&UPSTREAM_LEAVING));
+    let mut announcements = UpstreamAnnouncements::default();
+    announcements.read_limit(values(&UPSTREAM_LIMIT));
+    announcements.read_leaving(values(&UPSTREAM_LEAVING));
     let is_refusal = matches!(
         response.status(),
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS
     );
     if is_refusal {
-        words.read_rest(values(&RETRY_AFTER), Moment::now());
+        announcements.read_retry_after(values(&RETRY_AFTER), Moment::now());
     }
-    words
+    announcements
 }
 
 pub(crate) async fn refusal(response: Response<Incoming>, deadline: Deadline) -> HttpError {
     const SHOWN_BYTES: usize = 200;
     let status = response.status();
-    let words = answer_words(&response);
+    let announcements = upstream_announcements(&response);
     let loaded = response.headers().get(LOADED_HEADER).and_then(|value| value.to_str().ok());
     let loaded = loaded.and_then(|text| text.parse().ok());
     let body = collect_body(response.into_body(), MAX_JSON_BYTES, deadline).await;
     let text = body.unwrap_or_default();
     let shown = text.get(..SHOWN_BYTES.min(text.len())).unwrap_or_default();
-    HttpError::Refused { status, text: String::from_utf8_lossy(shown).into(), words, loaded }
+    HttpError::Refused {
+        status,
+        text: String::from_utf8_lossy(shown).into(),
+        announcements,
+        loaded,
+    }
 }
 
 /// Exchanges bytes and reads JSON from a successful answer.
--- a/crates/guava-outside/src/plain_service.rs
+++ b/crates/guava-outside/src/plain_service.rs
@@ -2,7 +2,7 @@
 
 use crate::http_link::{self, HttpError};
 use bytes::Bytes;
-use guava_policy::AnswerWords;
+use guava_policy::UpstreamAnnouncements;
 use guava_types::Deadline;
 use http::header::CONTENT_TYPE;
 use http::{Method, StatusCode};
@@ -38,7 +38,7 @@
     /// The whole body.
     pub body: Bytes,
     /// What the instance says of itself.
-    pub words: AnswerWords,
+    pub announcements: UpstreamAnnouncements,
 }
 
 /// Client of one instance of a service.
@@ -75,7 +75,7 @@
         let sender = http_link::connect(self.address, connecting).await?;
         let response = http_link::send(sender, request, deadline).await?;
         let status = response.status();
-        let words = http_link::answer_words(&response);
+        let announcements = http_link::upstream_announcements(&response);
         let content_type = response
             .headers()
             .get(CONTENT_TYPE)
@@ -84,6 +84,6 @@
             .into();
         let body =
             http_link::collect_body(response.into_body(), MAX_ANSWER_BYTES, deadline).await?;
-        Ok(ServiceAnswer { status, content_type, body, words })
+        Ok(ServiceAnswer { status, content_type, body, announcements })
     }
 }
--- a/crates/guava-policy/src/admission.rs
+++ b/crates/guava-policy/src/admission.rs
@@ -79,7 +79,7 @@
 
 /// What becomes of the next request in line.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum AdmitTurn {
+pub enum QueueAction {
     /// It starts now.
     Start(WaitingRequest),
     /// It can't make its deadline any more: refused now rather than when the deadline passes.
@@ -221,7 +221,7 @@
 
     /// The next request in line if a slot is free: the customer with the fewest running goes
     /// first, then the one served longest ago; within a customer the earliest deadline.
-    pub fn next(&mut self, options: &AdmitOptions, now: Moment) -> Option<AdmitTurn> {
+    pub fn next(&mut self, options: &AdmitOptions, now: Moment) -> Option<QueueAction> {
         if self.starting >= options.slots {
             return None;
         }
@@ -234,9 +234,9 @@
         let request = self.shares.get_mut(&customer)?.waiting.pop_front()?;
         self.waiting -= 1;
         if Deadline::after(now, options.safe_service_ms()) > request.deadline {
-            return Some(AdmitTurn::Shed(request));
+            return Some(QueueAction::Shed(request));
         }
         self.start(&customer);
-        Some(AdmitTurn::Start(request))
+        Some(QueueAction::Start(request))
     }
 }
--- a/crates/guava-policy/src/word_gate.rs
+++ b/crates/guava-policy/src/announcement_gate.rs
@@ -1,8 +1,8 @@
 //! Whether an upstream may get work now, by what it has said of itself.
 
+use crate::announcement_table::AnnouncementTable;
 use crate::send_ledger::SendLedger;
 use crate::send_share::SendShare;
-use crate::word_table::WordTable;
 use guava_types::{Deadline, LimitRate, Moment, UpstreamId};
 use std::fmt;
 
@@ -14,7 +14,7 @@
     /// It has said that it leaves.
     Leaving,
     /// It asked for rest.
-    Rest,
+    BackOff,
     /// This daemon's share of its limit is used up.
     Limit,
     /// It is cold, and this daemon's share is used up.
@@ -29,7 +29,7 @@
         match self {
             Self::Left => "left",
             Self::Leaving => "leaving",
-            Self::Rest => "rest",
+            Self::BackOff => "rest",
             Self::Limit => "limit",
             Self::Cold => "cold",
             Self::Drained => "drained",
@@ -53,21 +53,21 @@
 }
 
 /// What closes an upstream, if anything does; the share is this daemon's of a limit.
-pub fn word_gate(
-    words: &WordTable,
+pub fn announcement_gate(
+    announcements: &AnnouncementTable,
     sends: &SendLedger,
     upstream: &UpstreamId,
     share: impl FnOnce(LimitRate) -> SendShare,
     now: Moment,
 ) -> Option<ClosedUpstream> {
-    let words = words.words(upstream)?;
-    if words.is_leaving() {
+    let announcements = announcements.announcements(upstream)?;
+    if announcements.is_leaving() {
         return Some(ClosedUpstream { reason: CloseReason::Leaving, until: None });
     }
-    if let Some(Deadline(until)) = words.rest_until(now) {
-        return Some(ClosedUpstream { reason: CloseReason::Rest, until: Some(until) });
+    if let Some(Deadline(until)) = announcements.backoff_until(now) {
+        return Some(ClosedUpstream { reason: CloseReason::BackOff, until: Some(until) });
     }
-    full_share(sends, upstream, share(words.limit?), CloseReason::Limit, now)
+    full_share(sends, upstream, share(announcements.limit?), CloseReason::Limit, now)
 }
 
 /// What closes an upstream whose share is used up.
--- a/crates/guava-policy/src/word_table.rs
+++ b/crates/guava-policy/src/announcement_table.rs
@@ -15,7 +15,7 @@
 //! An id is one start of an upstream, so that what an earlier start has said is not held against the
 //! next.
 
-use crate::answer_words::{AnswerWords, LimitWord};
+use crate::upstream_announcements::{AnnouncedLimit, UpstreamAnnouncements};
 use guava_types::{Deadline, FastMap, LimitRate, Moment, UpstreamId};
 
 /// How long the words of an upstream that is not listed are kept, in milliseconds: entries that
@@ -43,7 +43,7 @@
 
 /// What a word changes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum WordNews {
+pub enum AnnouncementChange {
     /// The upstream has another limit than before.
     Limited {
         /// Which.
@@ -56,19 +56,19 @@
     /// It leaves.
     Leaving,
     /// It gets nothing from this daemon until then.
-    Resting(Deadline),
+    BackingOff(Deadline),
     /// It says something that can't be read.
     Unread(Box<str>),
 }
 
-impl WordNews {
+impl AnnouncementChange {
     /// What is said, in a word.
-    pub fn word(&self) -> &'static str {
+    pub fn kind(&self) -> &'static str {
         match self {
             Self::Limited { .. } => "limit",
             Self::Unlimited => "no-limit",
             Self::Leaving => "leaving",
-            Self::Resting(_) => "rest",
+            Self::BackingOff(_) => "rest",
             Self::Unread(_) => "unreadable",
         }
     }
@@ -77,7 +77,7 @@
     pub fn value(&self, now: Moment) -> String {
         match self {
             Self::Limited { rate, .. } => rate.to_string(),
-            Self::Resting(until) => format!("{} ms", until.millis_left(now)),
+            Self::BackingOff(until) => format!("{} ms", until.millis_left(now)),
             Self::Unread(value) => value.to_string(),
             Self::Unlimited | Self::Leaving => String::new(),
         }
@@ -91,14 +91,14 @@
                 rate.thousandths() < before.thousandths() * URGENT_PERCENT / 100
             }
             Self::Limited { before: None, .. } | Self::Leaving => true,
-            Self::Unlimited | Self::Resting(_) | Self::Unread(_) => false,
+            Self::Unlimited | Self::BackingOff(_) | Self::Unread(_) => false,
         }
     }
 }
 
 /// What one upstream has said.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct UpstreamWords {
+pub(crate) struct KnownAnnouncements {
     /// Its limit, if it has one.
     pub(crate) limit: Option<LimitRate>,
     /// As of when that is known.
@@ -108,80 +108,88 @@
     /// Since when it is known to leave, if it does.
     leaving_since: Option<Moment>,
     /// Until when it wants nothing from this daemon.
-    rest_until: Option<Deadline>,
+    backoff_until: Option<Deadline>,
     unread: Option<Box<str>>,
     noted: Moment,
 }
 
-impl UpstreamWords {
+impl KnownAnnouncements {
     /// Whether it has said that it leaves.
     pub(crate) fn is_leaving(&self) -> bool {
         self.leaving_since.is_some()
     }
 
     /// Until when it wants nothing from this daemon, if that is not over.
-    pub(crate) fn rest_until(&self, now: Moment) -> Option<Deadline> {
-        self.rest_until.filter(|until| !until.passed(now))
+    pub(crate) fn backoff_until(&self, now: Moment) -> Option<Deadline> {
+        self.backoff_until.filter(|until| !until.passed(now))
     }
 }
 
 /// The words of all upstreams that said any.
 #[derive(Clone, Debug, Default)]
-pub struct WordTable {
-    upstreams: FastMap<UpstreamId, UpstreamWords>,
+pub struct AnnouncementTable {
+    upstreams: FastMap<UpstreamId, KnownAnnouncements>,
 }
 
-impl WordTable {
+impl AnnouncementTable {
     /// Takes in an answer to a request that was sent at some moment; what is news.
     pub fn note_answer(
         &mut self,
         upstream: &UpstreamId,
-        words: &AnswerWords,
+        announcements: &UpstreamAnnouncements,
         sent: Moment,
         now: Moment,
-    ) -> Vec<WordNews> {
+    ) -> Vec<AnnouncementChange> {
         let mut news = Vec::new();
-        news.extend(match words.limit {
-            LimitWord::None => self.note_limit(upstream, None, sent, now),
-            LimitWord::Named(rate) => self.note_limit(upstream, Some(rate), now, now),
-            LimitWord::Unread => None,
+        news.extend(match announcements.limit {
+            AnnouncedLimit::None => self.note_limit(upstream, None, sent, now),
+            AnnouncedLimit::Named(rate) => self.note_limit(upstream, Some(rate), now, now),
+            AnnouncedLimit::Unread => None,
         });
-        if words.is_leaving {
+        if announcements.is_leaving {
             news.extend(self.note_leaving(upstream, now));
         }
-        news.extend(words.rest_until.and_then(|until| self.note_rest(upstream, until, now)));
-        news.extend(self.note_unread(upstream, words, now));
+        news.extend(
+            announcements.backoff_until.and_then(|until| self.note_backoff(upstream, until, now)),
+        );
+        news.extend(self.note_unread(upstream, announcements, now));
         news
     }
 
     /// Takes in what another daemon knows of a limit; what is news.
-    pub fn note_notice(&mut self, notice: &LimitNotice, now: Moment) -> Option<WordNews> {
+    pub fn note_notice(&mut self, notice: &LimitNotice, now: Moment) -> Option<AnnouncementChange> {
         self.note_limit(&notice.upstream, notice.rate, notice.as_of, now)
     }
 
     /// Takes in that an upstream leaves, by its own word or another daemon's; whether that is news.
-    pub fn note_leaving(&mut self, upstream: &UpstreamId, now: Moment) -> Option<WordNews> {
+    pub fn note_leaving(
+        &mut self,
+        upstream: &UpstreamId,
+        now: Moment,
+    ) -> Option<AnnouncementChange> {
         let known = self.entry(upstream, now)?;
         let is_known = known.leaving_since.is_some();
         known.leaving_since.get_or_insert(now);
-        (!is_known).then_some(WordNews::Leaving)
+        (!is_known).then_some(AnnouncementChange::Leaving)
     }
 
-    fn note_rest(
+    fn note_backoff(
         &mut self,
         upstream: &UpstreamId,
         until: Deadline,
         now: Moment,
-    ) -> Option<WordNews> {
+    ) -> Option<AnnouncementChange> {
         let known = self.entry(upstream, now)?;
-        let before = known.rest_until.unwrap_or_default();
-        known.rest_until = Some(until.max(before));
-        (until > before).then_some(WordNews::Resting(until))
+        let before = known.backoff_until.unwrap_or_default();
+        known.backoff_until = Some(until.max(before));
+        (until > before).then_some(AnnouncementChange::BackingOff(until))
     }
 
     /// Notes that an upstream gets a request; whether that ends a rest.
     pub fn note_send(&mut self, upstream: &UpstreamId) -> bool {
-        self.upstreams.get_mut(upstream).is_some_and(|words| words.rest_until.take().is_some())
+        self.upstreams
+            .get_mut(upstream)
+            .is_some_and(|announcements| announcements.backoff_until.take().is_some())
     }
 
     fn note_limit(
@@ -190,7 +198,7 @@
         rate: Option<LimitRate>,
         as_of: Moment,
         now: Moment,
-    ) -> Option<WordNews> {
+    ) -> Option<AnnouncementChange> {
         if rate.is_none() && !self.upstreams.contains_key(upstream) {
             return None;
         }
@@ -204,11 +212,11 @@
         match rate {
             Some(rate) => {
                 known.limit_over = None;
-                (before != Some(rate)).then_some(WordNews::Limited { rate, before })
+                (before != Some(rate)).then_some(AnnouncementChange::Limited { rate, before })
             }
             None if before.is_some() => {
                 known.limit_over = Some(now);
-                Some(WordNews::Unlimited)
+                Some(AnnouncementChange::Unlimited)
             }
             None => None,
         }
@@ -217,22 +225,22 @@
     fn note_unread(
         &mut self,
         upstream: &UpstreamId,
-        words: &AnswerWords,
+        announcements: &UpstreamAnnouncements,
         now: Moment,
-    ) -> Option<WordNews> {
-        let unread = words.unread.as_ref()?;
+    ) -> Option<AnnouncementChange> {
+        let unread = announcements.unread.as_ref()?;
         let known = self.entry(upstream, now)?;
         let is_same = known.unread.replace(unread.clone()).as_ref() == Some(unread);
-        (!is_same).then(|| WordNews::Unread(unread.clone()))
+        (!is_same).then(|| AnnouncementChange::Unread(unread.clone()))
     }
 
     /// An upstream's words; nothing if there is no room for another's.
-    fn entry(&mut self, upstream: &UpstreamId, now: Moment) -> Option<&mut UpstreamWords> {
+    fn entry(&mut self, upstream: &UpstreamId, now: Moment) -> Option<&mut KnownAnnouncements> {
         if !self.upstreams.contains_key(upstream) {
             if self.upstreams.len() >= MOST_KEPT {
                 return None;
             }
-            self.upstreams.insert(upstream.clone(), UpstreamWords::default());
+            self.upstreams.insert(upstream.clone(), KnownAnnouncements::default());
         }
         let known = self.upstreams.get_mut(upstream)?;
         known.noted = now;
@@ -240,58 +248,59 @@
     }
 
     /// What an upstream has said, if it said anything.
-    pub(crate) fn words(&self, upstream: &UpstreamId) -> Option<&UpstreamWords> {
+    pub(crate) fn announcements(&self, upstream: &UpstreamId) -> Option<&KnownAnnouncements> {
         self.upstreams.get(upstream)
     }
 
     /// An upstream's limit, if it has one.
     pub fn limit(&self, upstream: &UpstreamId) -> Option<LimitRate> {
-        self.words(upstream)?.limit
+        self.announcements(upstream)?.limit
     }
 
     /// An upstream's limit for other daemons, or that it has none any more.
     pub fn limit_notice(&self, upstream: &UpstreamId) -> Option<LimitNotice> {
-        let words = self.upstreams.get(upstream)?;
-        let is_known = words.limit.is_some() || words.limit_over.is_some();
+        let announcements = self.upstreams.get(upstream)?;
+        let is_known = announcements.limit.is_some() || announcements.limit_over.is_some();
         is_known.then(|| LimitNotice {
             upstream: upstream.clone(),
-            rate: words.limit,
-            as_of: words.limit_as_of,
+            rate: announcements.limit,
+            as_of: announcements.limit_as_of,
         })
     }
 
     /// All limits and ends of limits for other daemons; of ends those that are recent.
     pub fn limit_notices(&self, now: Moment) -> impl Iterator<Item = LimitNotice> {
         let is_recent = move |over: Moment| !Deadline::after(over, TOLD_MS).passed(now);
-        let is_told = move |words: &UpstreamWords| {
-            words.limit.is_some() || words.limit_over.is_some_and(is_recent)
+        let is_told = move |announcements: &KnownAnnouncements| {
+            announcements.limit.is_some() || announcements.limit_over.is_some_and(is_recent)
         };
-        let told = self.upstreams.iter().filter(move |(_, words)| is_told(words));
+        let told = self.upstreams.iter().filter(move |(_, announcements)| is_told(announcements));
         told.filter_map(|(id, _)| self.limit_notice(id))
     }
 
     /// Whether an upstream has said that it leaves.
     pub fn is_leaving(&self, upstream: &UpstreamId) -> bool {
-        self.words(upstream).is_some_and(UpstreamWords::is_leaving)
+        self.announcements(upstream).is_some_and(KnownAnnouncements::is_leaving)
     }
 
     /// Until when an upstream wants nothing from this daemon, if that is not over.
-    pub fn rest_until(&self, upstream: &UpstreamId, now: Moment) -> Option<Deadline> {
-        self.words(upstream)?.rest_until(now)
+    pub fn backoff_until(&self, upstream: &UpstreamId, now: Moment) -> Option<Deadline> {
+        self.announcements(upstream)?.backoff_until(now)
     }
 
     /// Upstreams that are lately known to leave, for other daemons.
-    pub fn lately_leaving(&self, now: Moment) -> impl Iterator<Item = &UpstreamId> {
+    pub fn recently_leaving(&self, now: Moment) -> impl Iterator<Item = &UpstreamId> {
         let is_told = move |since: Moment| !Deadline::after(since, TOLD_MS).passed(now);
         let leaving = self.upstreams.iter();
-        let leaving = leaving.filter(move |(_, words)| words.leaving_since.is_some_and(is_told));
+        let leaving = leaving
+            .filter(move |(_, announcements)| announcements.leaving_since.is_some_and(is_told));
         leaving.map(|(id, _)| id)
     }
 
     /// Forgets upstreams that are not listed and have said nothing for long.
     pub fn sweep(&mut self, now: Moment, is_listed: impl Fn(&UpstreamId) -> bool) {
-        self.upstreams.retain(|id, words| {
-            is_listed(id) || !Deadline::after(words.noted, KEPT_MS).passed(now)
+        self.upstreams.retain(|id, announcements| {
+            is_listed(id) || !Deadline::after(announcements.noted, KEPT_MS).passed(now)
         });
     }
 }
--- a/crates/guava-policy/src/crash_ledger.rs
+++ b/crates/guava-policy/src/crash_ledger.rs
@@ -8,7 +8,7 @@
 //! together. It says which requests *may* have done it: of some twenty, one has.
 //!
 //! **Told apart** they are by what else happened to them. A request that was answered whole has ended
-//! nothing: its evidence is dropped. One that was at three ends ([`ENDS_TO_STOP`]) is stopped, unless
+//! nothing: its evidence is dropped. One that was at three ends ([`CRASHES_TO_QUARANTINE`]) is stopped, unless
 //! another request that was at one of these was at as many or more: whoever merely ran beside it was
 //! at some of its ends, seldom at all. Of requests that can't be told from each other so, none is
 //! stopped until one is at a further end, or they are at [`TIED_ENDS`] together. An end at which a
@@ -23,9 +23,9 @@
 //! [`TOGETHER_MS`] count as one. They are told with their ages, since those told in one message would
 //! else look together.
 //!
-//! **For how long.** Evidence counts for [`EVIDENCE_MS`]. A request is stopped for [`FIRST_STOP_MS`],
+//! **For how long.** Evidence counts for [`EVIDENCE_MS`]. A request is stopped for [`FIRST_QUARANTINE_MS`],
 //! then has one more chance, since its upstreams may have been mended: an answer clears it, one more
-//! end stops it for twice as long, up to [`LONGEST_STOP_MS`].
+//! end stops it for twice as long, up to [`MAX_QUARANTINE_MS`].
 //!
 //! **Memory** is bounded by [`MOST_ENDS`] ends with [`MOST_REQUESTS`] requests each and by
 //! [`MOST_STOPS`] stopped requests: the oldest go first.
@@ -35,7 +35,7 @@
 /// Ends of upstreams at which a request was, to be stopped. At two, a request would be stopped whose
 /// second try went where the guilty one's second try went as well; each more than three costs one
 /// more upstream with all that runs there.
-pub const ENDS_TO_STOP: usize = 3;
+pub const CRASHES_TO_QUARANTINE: usize = 3;
 /// Ends at which requests that can't be told from each other are all stopped.
 const TIED_ENDS: usize = 5;
 /// Span within which ends come together, in milliseconds: processes that end at once are noticed
@@ -46,9 +46,9 @@
 /// For how long an end counts, in milliseconds: callers come again within seconds, or not for it.
 const EVIDENCE_MS: u64 = 600_000;
 /// For how long a request is stopped at first, in milliseconds.
-pub const FIRST_STOP_MS: u64 = 600_000;
+pub const FIRST_QUARANTINE_MS: u64 = 600_000;
 /// For how long it is stopped at most: the next day somebody may have mended the upstreams.
-const LONGEST_STOP_MS: u64 = 6 * 3_600_000;
+const MAX_QUARANTINE_MS: u64 = 6 * 3_600_000;
 /// How long a request is remembered after it was stopped, in milliseconds, so that one more end
 /// stops it again.
 const REMEMBERED_MS: u64 = 3_600_000;
@@ -64,7 +64,7 @@
 
 /// A stopped request, as daemons tell each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StopNotice {
+pub struct QuarantineNotice {
     /// Which.
     pub request: RequestDigest,
     /// For how much longer, in milliseconds; clocks are never compared.
@@ -84,9 +84,9 @@
 
 /// What a change of the evidence led to.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct LedgerNews {
+pub struct LedgerChange {
     /// Whether anything was not known before.
-    pub is_news: bool,
+    pub is_change: bool,
     /// Requests that are stopped from now on.
     pub stopped: Vec<RequestDigest>,
     /// Requests that are let go: they are explained by another.
@@ -94,14 +94,14 @@
 }
 
 #[derive(Clone, Debug)]
-struct UpstreamEnd {
+struct UpstreamCrash {
     /// When it ended, by the earliest that is known.
     at: Moment,
     requests: FastSet<RequestDigest>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct RequestStop {
+struct RequestQuarantine {
     until: Deadline,
     times: u32,
     /// Whether the evidence here led to it, not a peer's word or a record.
@@ -111,10 +111,10 @@
 /// What is known of upstreams' ends and the requests under way there.
 #[derive(Clone, Debug, Default)]
 pub struct CrashLedger {
-    ends: FastMap<UpstreamId, UpstreamEnd>,
+    ends: FastMap<UpstreamId, UpstreamCrash>,
     /// At how many ends each request was.
     counts: FastMap<RequestDigest, usize>,
-    stops: FastMap<RequestDigest, RequestStop>,
+    stops: FastMap<RequestDigest, RequestQuarantine>,
     cleared: FastMap<RequestDigest, ClearedRequest>,
 }
 
@@ -129,7 +129,7 @@
 
 fn stop_ms(times: u32) -> u64 {
     let doubled = times.saturating_sub(1).min(16);
-    (FIRST_STOP_MS << doubled).min(LONGEST_STOP_MS)
+    (FIRST_QUARANTINE_MS << doubled).min(MAX_QUARANTINE_MS)
 }
 
 impl CrashLedger {
@@ -139,26 +139,26 @@
     }
 
     /// Until when a request is stopped, if it is.
-    pub fn stopped_until(&self, request: RequestDigest, now: Moment) -> Option<Deadline> {
+    pub fn quarantined_until(&self, request: RequestDigest, now: Moment) -> Option<Deadline> {
         self.stops.get(&request).map(|stop| stop.until).filter(|until| !until.passed(now))
     }
 
     /// Takes in that an upstream ended at some moment while these requests were under way there, as
     /// this daemon or another saw it.
-    pub fn note_end(
+    pub fn note_crash(
         &mut self,
         upstream: &UpstreamId,
         requests: &[RequestDigest],
         at: Moment,
         now: Moment,
-    ) -> LedgerNews {
+    ) -> LedgerChange {
         if !self.ends.contains_key(upstream) && self.ends.len() >= MOST_ENDS {
             self.forget_oldest_end();
         }
-        let mut news = LedgerNews::default();
+        let mut news = LedgerChange::default();
         let end = self.ends.entry(upstream.clone()).or_insert_with(|| {
-            news.is_news = true;
-            UpstreamEnd { at, requests: FastSet::default() }
+            news.is_change = true;
+            UpstreamCrash { at, requests: FastSet::default() }
         });
         // Whoever noticed it first knows best.
         end.at = end.at.min(at);
@@ -173,11 +173,11 @@
             if end.requests.len() >= MOST_REQUESTS || !end.requests.insert(*request) {
                 continue;
             }
-            news.is_news = true;
+            news.is_change = true;
             let count = self.counts.entry(*request).or_default();
             *count += 1;
             let had_its_chance = self.stops.get(request).is_some_and(|stop| stop.until.passed(now));
-            is_at_limit |= *count >= ENDS_TO_STOP || had_its_chance;
+            is_at_limit |= *count >= CRASHES_TO_QUARANTINE || had_its_chance;
         }
         if is_at_limit {
             self.judge(now, &mut news);
@@ -205,7 +205,7 @@
     }
 
     /// Takes in that another daemon has stopped a request; whether that is news.
-    pub fn note_told(&mut self, told: StopNotice, now: Moment) -> bool {
+    pub fn note_from_peer(&mut self, told: QuarantineNotice, now: Moment) -> bool {
         if self.cleared.contains_key(&told.request) {
             return false;
         }
@@ -214,8 +214,8 @@
         if self.stops.get(&told.request).is_some_and(|known| known.times >= told.times) {
             return false;
         }
-        let until = Deadline::after(now, told.left_ms.min(LONGEST_STOP_MS));
-        let stop = RequestStop { until, times: told.times, is_found_here: false };
+        let until = Deadline::after(now, told.left_ms.min(MAX_QUARANTINE_MS));
+        let stop = RequestQuarantine { until, times: told.times, is_found_here: false };
         self.insert_stop(told.request, stop);
         true
     }
@@ -223,13 +223,13 @@
     /// Takes in the record of a stopped request: how long ago it was stopped nobody tells, so the
     /// whole time begins anew. Whether that is news.
     pub fn note_record(&mut self, request: RequestDigest, times: u32, now: Moment) -> bool {
-        self.note_told(StopNotice { request, left_ms: stop_ms(times), times }, now)
+        self.note_from_peer(QuarantineNotice { request, left_ms: stop_ms(times), times }, now)
     }
 
     /// The stopped requests.
-    pub fn stops(&self, now: Moment) -> impl Iterator<Item = StopNotice> {
+    pub fn stops(&self, now: Moment) -> impl Iterator<Item = QuarantineNotice> {
         let stopped = self.stops.iter().filter(move |(_, stop)| !stop.until.passed(now));
-        stopped.map(move |(request, stop)| StopNotice {
+        stopped.map(move |(request, stop)| QuarantineNotice {
             request: *request,
             left_ms: stop.until.millis_left(now),
             times: stop.times,
@@ -237,7 +237,7 @@
     }
 
     /// Ends since a moment, each with its own and the requests that were under way there.
-    pub fn ends_since(
+    pub fn crashes_since(
         &self,
         moment: Moment,
     ) -> impl Iterator<Item = (&UpstreamId, Moment, impl Iterator<Item = &RequestDigest>)> {
@@ -251,12 +251,12 @@
     }
 
     /// How often a request has been stopped, if it is remembered.
-    pub fn times_stopped(&self, request: RequestDigest) -> Option<u32> {
+    pub fn quarantine_count(&self, request: RequestDigest) -> Option<u32> {
         self.stops.get(&request).map(|stop| stop.times)
     }
 
     /// How many ends are remembered.
-    pub fn count_of_ends(&self) -> usize {
+    pub fn crash_count(&self) -> usize {
         self.ends.len()
     }
 
@@ -269,11 +269,12 @@
     /// Forgets what is over; the stopped requests that are forgotten.
     pub fn sweep(&mut self, now: Moment) -> Vec<RequestDigest> {
         self.cleared.retain(|_, cleared| !cleared.until.passed(now));
-        let is_old = |end: &UpstreamEnd| now.millis_since(end.at) > EVIDENCE_MS;
+        let is_old = |end: &UpstreamCrash| now.millis_since(end.at) > EVIDENCE_MS;
         let old = self.ends.iter().filter(|(_, end)| is_old(end));
         let old: Vec<UpstreamId> = old.map(|(id, _)| id.clone()).collect();
         old.iter().for_each(|id| self.forget_end(id));
-        let is_over = |stop: &RequestStop| Deadline::after(stop.until.0, REMEMBERED_MS).passed(now);
+        let is_over =
+            |stop: &RequestQuarantine| Deadline::after(stop.until.0, REMEMBERED_MS).passed(now);
         let over = self.stops.iter().filter(|(_, stop)| is_over(stop));
         let over: Vec<RequestDigest> = over.map(|(request, _)| *request).collect();
         for request in &over {
@@ -297,7 +298,7 @@
         } else {
             self.counts.insert(request, later_ends);
         }
-        if later_ends < ENDS_TO_STOP {
+        if later_ends < CRASHES_TO_QUARANTINE {
             self.stops.remove(&request);
         }
         self.note_clear(notice, now, is_own);
@@ -312,7 +313,7 @@
         }
     }
 
-    fn insert_stop(&mut self, request: RequestDigest, stop: RequestStop) {
+    fn insert_stop(&mut self, request: RequestDigest, stop: RequestQuarantine) {
         if !self.stops.contains_key(&request) && self.stops.len() >= MOST_STOPS {
             let first = self.stops.iter().min_by_key(|(_, stop)| stop.until);
             if let Some(first) = first.map(|(request, _)| *request) {
@@ -342,7 +343,7 @@
     }
 
     /// Judges all requests by the evidence as it is now.
-    fn judge(&mut self, now: Moment, news: &mut LedgerNews) {
+    fn judge(&mut self, now: Moment, news: &mut LedgerChange) {
         let blamed = self.blamed(now);
         let stopped: Vec<RequestDigest> = self.stops.keys().copied().collect();
         for request in stopped {
@@ -353,13 +354,13 @@
             }
         }
         for request in blamed {
-            if self.stopped_until(request, now).is_some() {
+            if self.quarantined_until(request, now).is_some() {
                 continue;
             }
             let times = self.stops.get(&request).map_or(0, |stop| stop.times) + 1;
             let until = Deadline::after(now, stop_ms(times));
             self.cleared.remove(&request);
-            self.insert_stop(request, RequestStop { until, times, is_found_here: true });
+            self.insert_stop(request, RequestQuarantine { until, times, is_found_here: true });
             news.stopped.push(request);
         }
     }
@@ -368,7 +369,7 @@
     /// evidence that is not all known here is not.
     fn is_explained(&self, request: RequestDigest, blamed: &[RequestDigest]) -> bool {
         let own = self.ends.values().filter(|end| end.requests.contains(&request));
-        let is_open = |end: &&UpstreamEnd| !blamed.iter().any(|by| end.requests.contains(by));
+        let is_open = |end: &&UpstreamCrash| !blamed.iter().any(|by| end.requests.contains(by));
         let (open, explained): (Vec<_>, Vec<_>) = own.partition(is_open);
         let count = open.len() + explained.len();
         // Ends that were learnt of later may show that some came together.
@@ -382,13 +383,13 @@
         } else {
             open.len()
         };
-        count >= ENDS_TO_STOP && open_count < ENDS_TO_STOP
+        count >= CRASHES_TO_QUARANTINE && open_count < CRASHES_TO_QUARANTINE
     }
 
     /// The requests under way at each occasion on which upstreams ended: one end, or several that
     /// came together.
     fn occasions(&self) -> Vec<FastSet<RequestDigest>> {
-        let mut ends: Vec<&UpstreamEnd> = self.ends.values().collect();
+        let mut ends: Vec<&UpstreamCrash> = self.ends.values().collect();
         ends.sort_unstable_by_key(|end| end.at);
         let mut occasions = Vec::new();
         let mut rest = ends.as_slice();
@@ -414,9 +415,9 @@
         let occasions = self.occasions();
         let mut open: Vec<&FastSet<RequestDigest>> = occasions.iter().collect();
         // What peers found by evidence that is not all known here.
-        let is_told = |request: &RequestDigest, stop: &RequestStop| {
+        let is_told = |request: &RequestDigest, stop: &RequestQuarantine| {
             let count = self.counts.get(request).copied().unwrap_or(0);
-            count < ENDS_TO_STOP && !stop.until.passed(now)
+            count < CRASHES_TO_QUARANTINE && !stop.until.passed(now)
         };
         let told = self.stops.iter().filter(|(request, stop)| is_told(request, stop));
         let mut blamed: Vec<RequestDigest> = told.map(|(request, _)| *request).collect();
@@ -445,7 +446,7 @@
     all.for_each(|request| *counts.entry(*request).or_default() += 1);
     let mut suspects: Vec<(usize, RequestDigest)> = counts
         .iter()
-        .filter(|(request, count)| **count >= ENDS_TO_STOP || had_its_chance(request))
+        .filter(|(request, count)| **count >= CRASHES_TO_QUARANTINE || had_its_chance(request))
         .map(|(request, count)| (*count, *request))
         .collect();
     suspects.sort_unstable_by(|one, other| other.cmp(one));
--- a/crates/guava-policy/src/lib.rs
+++ b/crates/guava-policy/src/lib.rs
@@ -4,7 +4,8 @@
 //! I/O or reads a clock. The adapters at the edges carry the decisions out.
 
 mod admission;
-mod answer_words;
+mod announcement_gate;
+mod announcement_table;
 mod backlog;
 mod cold_start;
 mod crash_ledger;
@@ -13,7 +14,8 @@
 mod link_queue;
 mod link_watch;
 mod load;
-mod memory_trust;
+mod memory_budget;
+mod memory_queue;
 mod placement;
 mod prefix;
 mod reply;
@@ -21,25 +23,27 @@
 mod route;
 mod send_ledger;
 mod send_share;
-mod waiting_line;
-mod word_gate;
-mod word_table;
+mod upstream_announcements;
 
 pub use admission::{
-    AdmitDecision, AdmitOptions, AdmitTurn, CustomerUse, FairAdmission, ReturnAfter, WaitingRequest,
+    AdmitDecision, AdmitOptions, CustomerUse, FairAdmission, QueueAction, ReturnAfter,
+    WaitingRequest,
 };
-pub use answer_words::{AnswerWords, LimitWord, spread_rest};
+pub use announcement_gate::{CloseReason, ClosedUpstream, announcement_gate, full_share};
+pub use announcement_table::{AnnouncementChange, AnnouncementTable, LimitNotice};
 pub use backlog::EngineBacklog;
 pub use cold_start::{ColdRule, cold_share};
 pub use crash_ledger::{
-    ClearNotice, CrashLedger, ENDS_TO_STOP, FIRST_STOP_MS, LedgerNews, StopNotice,
+    CRASHES_TO_QUARANTINE, ClearNotice, CrashLedger, FIRST_QUARANTINE_MS, LedgerChange,
+    QuarantineNotice,
 };
 pub use export::{ExportInput, should_export};
 pub use link::LinkTable;
 pub use link_queue::LinkQueue;
 pub use link_watch::{AwaitedFetch, LinkWatch};
 pub use load::{LoadReport, LoadTable, PendingWork, UpstreamLoad};
-pub use memory_trust::{MemoryTrust, has_room};
+pub use memory_budget::{MemoryBudget, has_capacity};
+pub use memory_queue::MemoryQueue;
 pub use placement::{PlacementInput, PlacementMove, plan_afresh, plan_moves};
 pub use prefix::{BLOCK_TOKENS, PrefixChain, PrefixHash, prefix_chain, tokens_in};
 pub use reply::{ReplyChunk, ReplyOrder, ReplyStep};
@@ -49,6 +53,4 @@
 };
 pub use send_ledger::SendLedger;
 pub use send_share::{SendShare, SendWindow, limit_share};
-pub use waiting_line::WaitingLine;
-pub use word_gate::{CloseReason, ClosedUpstream, full_share, word_gate};
-pub use word_table::{LimitNotice, WordNews, WordTable};
+pub use upstream_announcements::{AnnouncedLimit, UpstreamAnnouncements, jitter_backoff};
--- a/crates/guava-policy/src/load.rs
+++ b/crates/guava-policy/src/load.rs
@@ -153,7 +153,7 @@
     ///
     /// One loss in a hundred is no reason to leave an upstream; several in a row double its cost
     /// each time, until the others are cheaper.
-    pub fn stumbled(&mut self, upstream: &UpstreamId, now: Moment) {
+    pub fn note_failed_answer(&mut self, upstream: &UpstreamId, now: Moment) {
         let load = self.loads.entry(upstream.clone()).or_default();
         load.slowness = (load.past_slowness(now) * 2.0 + 1.0).min(MAX_SLOWNESS);
         load.slowness_noted = now;
--- a/crates/guava-policy/src/memory_trust.rs
+++ b/crates/guava-policy/src/memory_budget.rs
@@ -30,7 +30,7 @@
 
 /// Whether an engine of which so much memory is taken has room for a prompt, where a part of its memory
 /// is planned with.
-pub fn has_room(memory: TokenCount, part: f64, taken: TokenCount, needed: TokenCount) -> bool {
+pub fn has_capacity(memory: TokenCount, part: f64, taken: TokenCount, needed: TokenCount) -> bool {
     let memory = memory.0 as f64;
     let needed = needed.0 as f64;
     let at_best = memory * MOST_PART - needed;
@@ -46,18 +46,18 @@
 
 /// The part of the engines' memory that one daemon plans with.
 #[derive(Clone, Debug)]
-pub struct MemoryTrust {
+pub struct MemoryBudget {
     part: f64,
     awaited: Vec<AwaitedStart>,
 }
 
-impl Default for MemoryTrust {
+impl Default for MemoryBudget {
     fn default() -> Self {
         Self { part: MOST_PART, awaited: Vec::new() }
     }
 }
 
-impl MemoryTrust {
+impl MemoryBudget {
     /// Notes a long prompt that was sent; the ticket names it until it is over.
     pub fn begin(&mut self, ticket: u64, expected_ms: f64, now: Moment) {
         let late_ms = expected_ms * LATE_FACTOR + LATE_SLACK_MS;
--- a/crates/guava-policy/src/waiting_line.rs
+++ b/crates/guava-policy/src/memory_queue.rs
@@ -9,7 +9,7 @@
 
 /// A prompt in line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct LinePlace {
+struct QueuedPrompt {
     rank: u8,
     arrived: Moment,
     ticket: u64,
@@ -23,8 +23,8 @@
 
 /// The line of one daemon.
 #[derive(Clone, Debug, Default)]
-pub struct WaitingLine {
-    places: Vec<LinePlace>,
+pub struct MemoryQueue {
+    places: Vec<QueuedPrompt>,
     next_ticket: u64,
     /// When the last prompt in line got memory.
     last_start: Option<Moment>,
@@ -32,12 +32,12 @@
     interval_ms: Option<f64>,
 }
 
-impl WaitingLine {
+impl MemoryQueue {
     /// Takes a place: behind those of the same rank that arrived earlier. The ticket names it.
     pub fn join(&mut self, rank: u8, arrived: Moment) -> u64 {
         let ticket = self.next_ticket;
         self.next_ticket += 1;
-        let place = LinePlace { rank, arrived, ticket };
+        let place = QueuedPrompt { rank, arrived, ticket };
         let index = self.places.partition_point(|other| *other < place);
         self.places.insert(index, place);
         ticket
--- a/crates/guava-policy/src/send_ledger.rs
+++ b/crates/guava-policy/src/send_ledger.rs
@@ -21,7 +21,7 @@
     }
 
     /// Whether one more may be sent to an upstream under this daemon's share.
-    pub fn has_room(&self, upstream: &UpstreamId, share: SendShare, now: Moment) -> bool {
+    pub fn has_capacity(&self, upstream: &UpstreamId, share: SendShare, now: Moment) -> bool {
         self.opens(upstream, share, now) == Some(now)
     }
 
--- a/crates/guava-policy/src/send_share.rs
+++ b/crates/guava-policy/src/send_share.rs
@@ -86,7 +86,7 @@
 
 impl SendWindow {
     /// Whether one more may be sent under a share.
-    pub fn has_room(&self, share: SendShare, now: Moment) -> bool {
+    pub fn has_capacity(&self, share: SendShare, now: Moment) -> bool {
         self.opens(share, now) == Some(now)
     }
 
--- a/crates/guava-policy/src/answer_words.rs
+++ b/crates/guava-policy/src/upstream_announcements.rs
@@ -17,7 +17,7 @@
 
 /// A limit as an answer names it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum LimitWord {
+pub enum AnnouncedLimit {
     /// It names none.
     #[default]
     None,
@@ -29,18 +29,18 @@
 
 /// What an answer says of its upstream.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct AnswerWords {
+pub struct UpstreamAnnouncements {
     /// The limit on the requests of all daemons together.
-    pub limit: LimitWord,
+    pub limit: AnnouncedLimit,
     /// Whether it leaves.
     pub is_leaving: bool,
     /// Until when it wants nothing from this daemon, if it refused and asks for rest.
-    pub rest_until: Option<Deadline>,
+    pub backoff_until: Option<Deadline>,
     /// A value that can't be read, if there is one.
     pub unread: Option<Box<str>>,
 }
 
-impl AnswerWords {
+impl UpstreamAnnouncements {
     /// Reads the values of the header that names a limit, in requests a second. Of several the lowest
     /// holds.
     pub fn read_limit<'a>(&mut self, values: impl Iterator<Item = &'a [u8]>) {
@@ -48,9 +48,11 @@
             let text = String::from_utf8_lossy(value);
             let rate = text.trim().parse().ok().and_then(LimitRate::per_second);
             self.limit = match (rate, self.limit) {
-                (Some(rate), LimitWord::Named(known)) => LimitWord::Named(rate.min(known)),
-                (Some(rate), _) => LimitWord::Named(rate),
-                (None, LimitWord::None) => LimitWord::Unread,
+                (Some(rate), AnnouncedLimit::Named(known)) => {
+                    AnnouncedLimit::Named(rate.min(known))
+                }
+                (Some(rate), _) => AnnouncedLimit::Named(rate),
+                (None, AnnouncedLimit::None) => AnnouncedLimit::Unread,
                 (None, known) => known,
             };
             if rate.is_none() {
@@ -72,14 +74,14 @@
 
     /// Reads the values of a refusal's `Retry-After`: seconds, also in fractions, or a date. Of several
     /// the longest holds.
-    pub fn read_rest<'a>(&mut self, values: impl Iterator<Item = &'a [u8]>, now: Moment) {
+    pub fn read_retry_after<'a>(&mut self, values: impl Iterator<Item = &'a [u8]>, now: Moment) {
         for value in values {
             let text = String::from_utf8_lossy(value);
             match rest_ms(text.trim()) {
                 None => self.note_unread(&text),
                 Some(0) => {}
                 Some(millis) => {
-                    self.rest_until = self.rest_until.max(Some(Deadline::after(now, millis)));
+                    self.backoff_until = self.backoff_until.max(Some(Deadline::after(now, millis)));
                 }
             }
         }
@@ -103,7 +105,7 @@
 }
 
 /// The end of a rest, put off by a part of it that a random number draws.
-pub fn spread_rest(until: Deadline, now: Moment, draw: u64) -> Deadline {
+pub fn jitter_backoff(until: Deadline, now: Moment, draw: u64) -> Deadline {
     let most_ms = until.millis_left(now) / SPREAD_PART;
     Deadline::after(until.0, draw % (most_ms + 1))
 }
--- a/crates/guava-policy/tests/admission.rs
+++ b/crates/guava-policy/tests/admission.rs
@@ -3,7 +3,8 @@
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
 use guava_policy::{
-    AdmitDecision, AdmitOptions, AdmitTurn, CustomerUse, FairAdmission, RetryBudget, WaitingRequest,
+    AdmitDecision, AdmitOptions, CustomerUse, FairAdmission, QueueAction, RetryBudget,
+    WaitingRequest,
 };
 use guava_types::{CustomerId, Deadline, Moment, RequestRate};
 
@@ -38,7 +39,7 @@
     let next = admission.next(&OPTIONS, NOW);
 
     assert_eq!(small, AdmitDecision::Queue);
-    assert_eq!(next, Some(AdmitTurn::Start(request("small", 9, 60_000))));
+    assert_eq!(next, Some(QueueAction::Start(request("small", 9, 60_000))));
 }
 
 #[test]
@@ -50,7 +51,7 @@
     admission.started();
 
     let next = admission.next(&OPTIONS, NOW);
-    assert_eq!(next, Some(AdmitTurn::Start(request("acme", 3, 9_000))));
+    assert_eq!(next, Some(QueueAction::Start(request("acme", 3, 9_000))));
 }
 
 #[test]
@@ -78,7 +79,7 @@
 
     let turn = admission.next(&OPTIONS, Moment(NOW.0 + 350));
 
-    assert_eq!(turn, Some(AdmitTurn::Shed(request("acme", 2, 400))));
+    assert_eq!(turn, Some(QueueAction::Shed(request("acme", 2, 400))));
     assert_eq!(admission.starting(), 1);
 }
 
@@ -125,7 +126,7 @@
     admission.started();
 
     let next = admission.next(&OPTIONS, NOW);
-    assert_eq!(next, Some(AdmitTurn::Start(request("acme", 3, 60_000))));
+    assert_eq!(next, Some(QueueAction::Start(request("acme", 3, 60_000))));
     assert_eq!(admission.waiting(), 0);
 }
 
--- a/crates/guava-policy/tests/memory_trust.rs
+++ b/crates/guava-policy/tests/memory_trust.rs
@@ -1,13 +1,13 @@
 //! How much memory is planned with, by what became of what was sent.
 
-use guava_policy::{MemoryTrust, has_room};
+use guava_policy::{MemoryBudget, has_capacity};
 use guava_types::{Moment, TokenCount};
 use yare::parameterized;
 
 const EXPECTED_MS: f64 = 300.0;
 
 /// Sends prompts one every 100 ms whose first tokens take so long.
-fn play(trust: &mut MemoryTrust, from: u64, taken_ms: &[u64]) -> Moment {
+fn play(trust: &mut MemoryBudget, from: u64, taken_ms: &[u64]) -> Moment {
     let mut events: Vec<(u64, u64, bool)> = Vec::new();
     for (ticket, taken_ms) in (0..).zip(taken_ms) {
         let sent = from + ticket * 100;
@@ -31,7 +31,7 @@
     // Sequence: a quarter of the engines is lost; what is known of the others' memory is late, so
     // they are sent more than they hold; each prompt takes ten times as long and makes the next late.
     // Cause: what became of the prompts changed nothing in what was sent.
-    let mut trust = MemoryTrust::default();
+    let mut trust = MemoryBudget::default();
     let before = trust.part(Moment(0));
 
     let overloaded = play(&mut trust, 1_000, &[3_000; 8]);
@@ -46,7 +46,7 @@
 
 #[test]
 fn late_first_token_counts_before_it_comes_and_only_once() {
-    let mut trust = MemoryTrust::default();
+    let mut trust = MemoryBudget::default();
     trust.begin(1, EXPECTED_MS, Moment(1_000));
     let best = trust.part(Moment(2_400));
 
@@ -59,7 +59,7 @@
 
 #[test]
 fn some_memory_is_always_planned_with() {
-    let mut trust = MemoryTrust::default();
+    let mut trust = MemoryBudget::default();
 
     let end = play(&mut trust, 1_000, &[9_000; 200]);
 
@@ -68,7 +68,7 @@
 
 #[test]
 fn prompt_that_was_given_up_in_time_says_nothing() {
-    let mut trust = MemoryTrust::default();
+    let mut trust = MemoryBudget::default();
     let best = trust.part(Moment(0));
 
     trust.begin(1, EXPECTED_MS, Moment(1_000));
@@ -92,7 +92,7 @@
     // Sequence: a third of the memory is planned with, less than such a prompt needs; every engine
     // runs short prompts all the time.
     // Cause: it fitted only into an engine with nothing to do.
-    let room = has_room(TokenCount(70_000), part, TokenCount(taken), TokenCount(needed));
+    let room = has_capacity(TokenCount(70_000), part, TokenCount(taken), TokenCount(needed));
 
     assert_eq!(room, expected);
 }
--- a/crates/guava-policy/tests/send_share.rs
+++ b/crates/guava-policy/tests/send_share.rs
@@ -59,10 +59,10 @@
     window.note(at(0));
     window.note(at(900));
 
-    assert!(!window.has_room(two, at(1_000)), "two within the last second");
+    assert!(!window.has_capacity(two, at(1_000)), "two within the last second");
     assert_eq!(window.opens(two, at(1_000)), Some(at(1_100)));
-    assert!(window.has_room(two, at(1_200)), "the first one is over");
-    assert!(!window.has_room(SendShare::default(), at(9_000)), "no share at all");
+    assert!(window.has_capacity(two, at(1_200)), "the first one is over");
+    assert!(!window.has_capacity(SendShare::default(), at(9_000)), "no share at all");
     assert!(window.is_over(at(32_000)) && !window.is_over(at(2_100)));
 }
 
@@ -114,17 +114,17 @@
     fn daemons_that_only_some_know_of_keep_the_limit(
         daemons in prop::sample::select(vec![6_usize, 8, 79, 300]),
         tenths in 1_u32..300,
-        newcomers in prop::collection::vec(0.0..1.0_f64, 0..4),
+        new_peers in prop::collection::vec(0.0..1.0_f64, 0..4),
         knows in prop::collection::vec(any::<bool>(), 300),
     ) {
         let per_second = f64::from(tenths) / 10.0;
-        let newcomers: Vec<usize> =
-            newcomers.iter().map(|part| (part * daemons as f64) as usize).collect();
+        let new_peers: Vec<usize> =
+            new_peers.iter().map(|part| (part * daemons as f64) as usize).collect();
         let all: Vec<usize> = (0..daemons).collect();
         let before: Vec<usize> =
-            all.iter().copied().filter(|daemon| !newcomers.contains(daemon)).collect();
+            all.iter().copied().filter(|daemon| !new_peers.contains(daemon)).collect();
         // A newcomer has read the records of all.
-        let knows_all = |daemon: &usize| knows[*daemon] || newcomers.contains(daemon);
+        let knows_all = |daemon: &usize| knows[*daemon] || new_peers.contains(daemon);
         let views: Vec<(usize, Vec<usize>)> = all
             .iter()
             .map(|daemon| (*daemon, if knows_all(daemon) { all.clone() } else { before.clone() }))
--- a/crates/guava-policy/tests/word_table.rs
+++ b/crates/guava-policy/tests/word_table.rs
@@ -1,6 +1,9 @@
 //! What upstreams say of themselves, in answers that overtake each other.
 
-use guava_policy::{AnswerWords, LimitNotice, LimitWord, WordNews, WordTable, spread_rest};
+use guava_policy::{
+    AnnouncedLimit, AnnouncementChange, AnnouncementTable, LimitNotice, UpstreamAnnouncements,
+    jitter_backoff,
+};
 use guava_types::{Deadline, LimitRate, Moment, UpstreamId};
 use yare::parameterized;
 
@@ -12,22 +15,25 @@
     LimitRate::per_second(per_second).unwrap_or_default()
 }
 
-fn limited(per_second: f64) -> AnswerWords {
-    AnswerWords { limit: LimitWord::Named(rate(per_second)), ..AnswerWords::default() }
+fn limited(per_second: f64) -> UpstreamAnnouncements {
+    UpstreamAnnouncements {
+        limit: AnnouncedLimit::Named(rate(per_second)),
+        ..UpstreamAnnouncements::default()
+    }
 }
 
-fn read(values: &[&str]) -> AnswerWords {
-    let mut words = AnswerWords::default();
-    words.read_limit(values.iter().map(|value| value.as_bytes()));
-    words
+fn read(values: &[&str]) -> UpstreamAnnouncements {
+    let mut announcements = UpstreamAnnouncements::default();
+    announcements.read_limit(values.iter().map(|value| value.as_bytes()));
+    announcements
 }
 
 /// Plays answers, each as the limit that it names, the sending of its request and its arrival.
 fn play(answers: &[(Option<f64>, u64, u64)]) -> Option<LimitRate> {
-    let mut table = WordTable::default();
+    let mut table = AnnouncementTable::default();
     for (named, sent, arrived) in answers {
-        let words = named.map(limited).unwrap_or_default();
-        table.note_answer(&id("u"), &words, Moment(*sent), Moment(*arrived));
+        let announcements = named.map(limited).unwrap_or_default();
+        table.note_answer(&id("u"), &announcements, Moment(*sent), Moment(*arrived));
     }
     table.limit(&id("u"))
 }
@@ -49,44 +55,44 @@
 }
 
 #[parameterized(
-    decimal = { &["2.7"], LimitWord::Named(rate(2.7)), false },
-    whole = { &[" 20 "], LimitWord::Named(rate(20.0)), false },
-    nothing = { &["0"], LimitWord::Named(rate(0.0)), false },
-    very_small = { &["0.01"], LimitWord::Named(rate(0.01)), false },
-    very_large = { &["1e9"], LimitWord::Named(rate(1e9)), false },
-    twice = { &["20", "2"], LimitWord::Named(rate(2.0)), false },
-    twice_and_bad = { &["2", "fast"], LimitWord::Named(rate(2.0)), true },
-    negative = { &["-1"], LimitWord::Unread, true },
-    no_number = { &["NaN"], LimitWord::Unread, true },
-    endless = { &["inf"], LimitWord::Unread, true },
-    empty = { &[""], LimitWord::Unread, true },
-    absent = { &[], LimitWord::None, false },
+    decimal = { &["2.7"], AnnouncedLimit::Named(rate(2.7)), false },
+    whole = { &[" 20 "], AnnouncedLimit::Named(rate(20.0)), false },
+    nothing = { &["0"], AnnouncedLimit::Named(rate(0.0)), false },
+    very_small = { &["0.01"], AnnouncedLimit::Named(rate(0.01)), false },
+    very_large = { &["1e9"], AnnouncedLimit::Named(rate(1e9)), false },
+    twice = { &["20", "2"], AnnouncedLimit::Named(rate(2.0)), false },
+    twice_and_bad = { &["2", "fast"], AnnouncedLimit::Named(rate(2.0)), true },
+    negative = { &["-1"], AnnouncedLimit::Unread, true },
+    no_number = { &["NaN"], AnnouncedLimit::Unread, true },
+    endless = { &["inf"], AnnouncedLimit::Unread, true },
+    empty = { &[""], AnnouncedLimit::Unread, true },
+    absent = { &[], AnnouncedLimit::None, false },
 )]
 fn value_of_a_limit_is_read_or_told_to_be_unreadable(
     values: &[&str],
-    expected: LimitWord,
+    expected: AnnouncedLimit,
     is_unread: bool,
 ) {
-    let words = read(values);
+    let announcements = read(values);
 
-    assert_eq!((words.limit, words.unread.is_some()), (expected, is_unread));
+    assert_eq!((announcements.limit, announcements.unread.is_some()), (expected, is_unread));
 }
 
 #[test]
 fn unreadable_limit_leaves_what_was_known_and_is_news_once() {
-    let mut table = WordTable::default();
+    let mut table = AnnouncementTable::default();
     table.note_answer(&id("u"), &limited(2.0), Moment(10), Moment(20));
 
     let first = table.note_answer(&id("u"), &read(&["fast"]), Moment(30), Moment(40));
     let again = table.note_answer(&id("u"), &read(&["fast"]), Moment(50), Moment(60));
 
-    assert_eq!((first, again), (vec![WordNews::Unread("fast".into())], vec![]));
+    assert_eq!((first, again), (vec![AnnouncementChange::Unread("fast".into())], vec![]));
     assert_eq!(table.limit(&id("u")), Some(rate(2.0)));
 }
 
 #[test]
 fn later_word_of_another_daemon_counts_and_an_earlier_one_does_not() {
-    let mut table = WordTable::default();
+    let mut table = AnnouncementTable::default();
     table.note_answer(&id("u"), &limited(2.0), Moment(90), Moment(100));
     let notice = |rate, as_of| LimitNotice { upstream: id("u"), rate, as_of: Moment(as_of) };
 
@@ -102,11 +108,11 @@
 
 #[test]
 fn end_of_a_limit_is_told_for_a_while_however_many_answers_follow() {
-    let mut table = WordTable::default();
+    let mut table = AnnouncementTable::default();
     table.note_answer(&id("u"), &limited(2.0), Moment(10), Moment(20));
     for second in 1..40 {
         let sent = Moment(second * 1_000);
-        table.note_answer(&id("u"), &AnswerWords::default(), sent, sent);
+        table.note_answer(&id("u"), &UpstreamAnnouncements::default(), sent, sent);
     }
 
     assert_eq!(table.limit_notices(Moment(5_000)).count(), 1);
@@ -115,7 +121,7 @@
 
 #[test]
 fn limit_belongs_to_one_start_of_an_upstream() {
-    let mut table = WordTable::default();
+    let mut table = AnnouncementTable::default();
     table.note_answer(&id("u@1"), &limited(2.0), Moment(10), Moment(20));
 
     assert_eq!(table.limit(&id("u@2")), None);
@@ -123,7 +129,7 @@
 
 #[test]
 fn words_of_upstreams_that_are_gone_are_forgotten_after_a_while() {
-    let mut table = WordTable::default();
+    let mut table = AnnouncementTable::default();
     table.note_answer(&id("u"), &limited(2.0), Moment(10), Moment(20));
 
     table.sweep(Moment(500_000), |_| false);
@@ -144,32 +150,32 @@
     is_leaving: bool,
     is_unread: bool,
 ) {
-    let mut words = AnswerWords::default();
+    let mut announcements = UpstreamAnnouncements::default();
 
-    words.read_leaving([value.as_bytes()].into_iter());
+    announcements.read_leaving([value.as_bytes()].into_iter());
 
-    assert_eq!((words.is_leaving, words.unread.is_some()), (is_leaving, is_unread));
+    assert_eq!((announcements.is_leaving, announcements.unread.is_some()), (is_leaving, is_unread));
 }
 
 #[test]
 fn leaving_is_final_and_news_once() {
-    let mut table = WordTable::default();
-    let leaving = AnswerWords { is_leaving: true, ..AnswerWords::default() };
+    let mut table = AnnouncementTable::default();
+    let leaving = UpstreamAnnouncements { is_leaving: true, ..UpstreamAnnouncements::default() };
 
     let first = table.note_answer(&id("u"), &leaving, Moment(10), Moment(20));
     let again = table.note_answer(&id("u"), &leaving, Moment(30), Moment(40));
-    table.note_answer(&id("u"), &AnswerWords::default(), Moment(50), Moment(60));
+    table.note_answer(&id("u"), &UpstreamAnnouncements::default(), Moment(50), Moment(60));
 
-    assert_eq!((first, again), (vec![WordNews::Leaving], vec![]));
+    assert_eq!((first, again), (vec![AnnouncementChange::Leaving], vec![]));
     assert!(table.is_leaving(&id("u")));
-    assert_eq!(table.lately_leaving(Moment(70)).count(), 1);
-    assert_eq!(table.lately_leaving(Moment(30_000)).count(), 0);
+    assert_eq!(table.recently_leaving(Moment(70)).count(), 1);
+    assert_eq!(table.recently_leaving(Moment(30_000)).count(), 0);
 }
 
-fn read_rest(values: &[&str]) -> AnswerWords {
-    let mut words = AnswerWords::default();
-    words.read_rest(values.iter().map(|value| value.as_bytes()), Moment(1_000));
-    words
+fn read_retry_after(values: &[&str]) -> UpstreamAnnouncements {
+    let mut announcements = UpstreamAnnouncements::default();
+    announcements.read_retry_after(values.iter().map(|value| value.as_bytes()), Moment(1_000));
+    announcements
 }
 
 #[parameterized(
@@ -190,37 +196,39 @@
     until: Option<u64>,
     is_unread: bool,
 ) {
-    let words = read_rest(values);
+    let announcements = read_retry_after(values);
 
-    assert_eq!(words.rest_until, until.map(|until| Deadline(Moment(until))));
-    assert_eq!(words.unread.is_some(), is_unread);
+    assert_eq!(announcements.backoff_until, until.map(|until| Deadline(Moment(until))));
+    assert_eq!(announcements.unread.is_some(), is_unread);
 }
 
 #[test]
 fn rest_until_a_date_is_read() {
     let date = std::time::SystemTime::now() + std::time::Duration::from_secs(30);
 
-    let words = read_rest(&[&httpdate::fmt_http_date(date)]);
+    let announcements = read_retry_after(&[&httpdate::fmt_http_date(date)]);
 
-    let left_ms = words.rest_until.unwrap_or_default().millis_left(Moment(1_000));
+    let left_ms = announcements.backoff_until.unwrap_or_default().millis_left(Moment(1_000));
     assert!((28_000..=30_000).contains(&left_ms), "{left_ms}");
 }
 
 #[test]
 fn rest_is_made_longer_by_later_words_and_not_shorter() {
-    let mut table = WordTable::default();
-    let rest =
-        |until| AnswerWords { rest_until: Some(Deadline(Moment(until))), ..AnswerWords::default() };
+    let mut table = AnnouncementTable::default();
+    let rest = |until| UpstreamAnnouncements {
+        backoff_until: Some(Deadline(Moment(until))),
+        ..UpstreamAnnouncements::default()
+    };
     table.note_answer(&id("u"), &rest(3_000), Moment(10), Moment(20));
 
     let shorter = table.note_answer(&id("u"), &rest(2_000), Moment(30), Moment(40));
     let longer = table.note_answer(&id("u"), &rest(5_000), Moment(50), Moment(60));
-    table.note_answer(&id("u"), &AnswerWords::default(), Moment(70), Moment(80));
+    table.note_answer(&id("u"), &UpstreamAnnouncements::default(), Moment(70), Moment(80));
 
     assert_eq!(shorter, []);
-    assert_eq!(longer, [WordNews::Resting(Deadline(Moment(5_000)))]);
-    assert!(table.rest_until(&id("u"), Moment(4_999)).is_some());
-    assert!(table.rest_until(&id("u"), Moment(5_000)).is_none());
+    assert_eq!(longer, [AnnouncementChange::BackingOff(Deadline(Moment(5_000)))]);
+    assert!(table.backoff_until(&id("u"), Moment(4_999)).is_some());
+    assert!(table.backoff_until(&id("u"), Moment(5_000)).is_none());
     assert!(table.note_send(&id("u")) && !table.note_send(&id("u")), "ends once");
 }
 
@@ -228,7 +236,7 @@
 fn rests_that_begin_together_do_not_end_together() {
     let until = Deadline(Moment(4_000));
     let ends: Vec<u64> =
-        (0..8).map(|draw| spread_rest(until, Moment(1_000), draw * 50).0.0).collect();
+        (0..8).map(|draw| jitter_backoff(until, Moment(1_000), draw * 50).0.0).collect();
 
     assert!(ends.iter().all(|end| (4_000..=4_375).contains(end)), "{ends:?}");
     assert!(ends.windows(2).all(|pair| pair[0] != pair[1]), "{ends:?}");
--- a/crates/guava-serve/src/config_intake.rs
+++ b/crates/guava-serve/src/config_intake.rs
@@ -2,11 +2,11 @@
 
 use crate::events;
 use crate::serve_config::ServeConfig;
-use crate::serve_parts::ServeParts;
+use crate::serve_context::ServeContext;
 use guava_log::log_event;
 
 /// Takes a configuration in as it was read.
-pub fn take_config(parts: &ServeParts, config: ServeConfig) {
+pub fn take_config(parts: &ServeContext, config: ServeConfig) {
     let version = config.version;
     let services = config.services().map(|service| service.name.clone()).collect();
     if !parts.config.borrow_mut().offer(config) {
--- a/crates/guava-serve/src/events.rs
+++ b/crates/guava-serve/src/events.rs
@@ -14,8 +14,8 @@
     RESUMED "G8007" "stream goes on at another upstream";
     BROKEN "G8008" "stream broke off";
     CALLER_LEFT "G8009" "the caller left";
-    UPSTREAM_ENDED "G8012" "an upstream ended";
-    REQUEST_STOPPED "G8013" "a request is stopped: upstreams end under it";
+    UPSTREAM_CRASHED "G8012" "an upstream ended";
+    REQUEST_QUARANTINED "G8013" "a request is stopped: upstreams end under it";
     REQUEST_CLEARED "G8014" "a request is not held against upstreams' ends any more";
     STOPS_UNREAD "G8015" "records of stopped requests can't be read or written";
     WORD_LEARNT "G8016" "an upstream says something of itself";
@@ -27,7 +27,7 @@
     CONFIG_OLD "G8105" "an older configuration was passed over";
     VERSION_PUBLISHED "G8106" "new weights were published";
     CENTRE_DRAINED "G8107" "a data centre is drained, or taken back";
-    MEMBER_HEARD "G8201" "a daemon is heard";
+    MEMBER_REACHABLE "G8201" "a daemon is heard";
     MESSAGE_LOST "G8202" "messages between daemons were lost";
     LEASE_TAKEN "G8301" "the lease for orders is held";
     LEASE_LOST "G8302" "the lease for orders ended";
--- a/crates/guava-serve/src/lib.rs
+++ b/crates/guava-serve/src/lib.rs
@@ -12,32 +12,35 @@
 mod ports;
 mod request;
 mod serve_config;
-mod serve_parts;
+mod serve_context;
 mod upstreams;
 mod weights;
 
 pub use config_intake::take_config;
 pub use members::list_changes::ListChanges;
 pub use members::lost_messages::{LostMessages, MessageLoss};
-pub use members::member_table::{MemberNote, MemberTable};
+pub use members::member_table::{MemberDescriptor, MemberTable};
 pub use members::message_split::datagrams;
-pub use members::peer_duty::{OwnState, hear_peers, tell_notes, tell_peers, tell_reads};
 pub use members::peer_exchange::{
-    ListSource, OwnNews, compose_end_notes, compose_greeting, compose_message, compose_note,
-    compose_reads, compose_words, take_change, take_drain, take_message, take_version,
+    ListSource, OwnSummary, compose_announcements, compose_crash_notices, compose_immediate,
+    compose_initial_sync, compose_message, compose_reads, take_change, take_drain, take_message,
+    take_version,
 };
 pub use members::peer_message::{
     ListedChange, LoadedVersion, MAX_DATAGRAM_BYTES, PeerMessage, PublishedVersion,
 };
+pub use members::peer_task::{
+    OwnState, receive_messages, send_immediate, send_read_marks, send_summaries,
+};
 pub use members::retry_pause::{RetryPause, is_read_urgent};
 pub use members::shared_reads::{
     ReadMark, ReadPace, ReadTracker, STANDBYS, SharedReads, read_as_of,
 };
 pub use metrics::{KindLabel, LimitLevel, ServeMetrics, UpstreamLabel};
 pub use parts::cache_salt::{cache_salt, salt_version};
-pub use parts::part_duty::follow_stores;
-pub use parts::part_index::{HeldPart, PartEvent, PartIndex, PartNews, StoreWord};
+pub use parts::part_index::{HeldPart, PartChange, PartEvent, PartIndex, StoreUpdate};
 pub use parts::part_key::PartKey;
+pub use parts::part_task::follow_stores;
 pub use parts::part_transfers::FetchPlan;
 pub use parts::save_ledger::{PartSave, SaveLedger};
 pub use parts::sent_prompt::SentPrompt;
@@ -45,12 +48,13 @@
     FetchTicket, FetchWait, SlowLink, StoreLinks, StoreTransfer, transfer_ms,
 };
 pub use ports::{
-    EnginePort, EngineReport, FreeOrder, LeaseNews, LeasePort, LoadOrder, PartList, PartPort,
-    PartReport, PortError, PortFuture, StopPort,
+    EnginePort, EngineReport, FreeOrder, LeasePort, LeaseUpdate, LoadOrder, PartList, PartPort,
+    PartReport, PortError, PortFuture, QuarantinePort,
 };
 pub use request::accepted_request::{AcceptedRequest, PromptPart, PromptShape, RequestHead};
 pub use request::admit::{AdmitRefusal, AdmittedCaller, HeldBytes, admit};
 pub use request::answer_body::{AnswerBody, BrokenStream};
+pub use request::answer_timeout::{first_answer_timeout_ms, return_after_ms};
 pub use request::dialect::{AnswerMarks, Dialect, EngineOrders, SendPlan};
 pub use request::dispatch::serve_request;
 pub use request::engine_choice::{EngineChoice, choose_engine};
@@ -59,7 +63,6 @@
 pub use request::fresh_state::{await_fresh_config, is_stale};
 pub use request::http_listener::{ConnectionLimits, ListenerPhase, open_listener, serve_listener};
 pub use request::outcome::{RefusalReason, SendRecord, ServeOutcome};
-pub use request::patience::{first_answer_patience, return_after_ms};
 pub use request::request_plan::draw_service;
 pub use request::retry_shares::{RetryLimit, RetryShares};
 pub use request::send_gate::{
@@ -67,28 +70,28 @@
 };
 pub use request::service_choice::{ServiceInput, choose_instance};
 pub use serve_config::{
-    CallerIdentity, CallerLimits, ConfigKeeper, ConfigParts, ConfigVersion, CustomerRule,
+    CallerIdentity, CallerLimits, ConfigParts, ConfigVersion, CurrentConfig, CustomerRule,
     EngineTraits, RepeatRule, RouteRule, ServeConfig, ServiceRule, StoreTraits,
 };
-pub use serve_parts::{ServeBounds, ServeIdentity, ServeParts, UpstreamClock};
+pub use serve_context::{ServeBounds, ServeContext, ServeIdentity, UpstreamClock};
+pub use upstreams::announcement_watch::note_announcements;
+pub use upstreams::broken_send_table::BrokenSendTable;
 pub use upstreams::connection_pool::{ConnectionPool, ExchangeError, UpstreamConnection};
-pub use upstreams::crash_words::CrashWords;
+pub use upstreams::crash_gossip::CrashGossip;
+pub use upstreams::crash_notice::CrashNotice;
 pub use upstreams::drain_table::{DrainNotice, DrainTable};
-pub use upstreams::end_notice::EndNotice;
-pub use upstreams::end_watch::EndWatch;
 pub use upstreams::engine_speeds::{EngineSpeed, EngineSpeeds};
 pub use upstreams::http_call::{CallAnswer, CallError, call_request};
 pub use upstreams::list_order::{ListOrder, ListRevision};
 pub use upstreams::prefill_rate::PrefillRate;
-pub use upstreams::stop_duty::{is_read_due, keep_stops};
-pub use upstreams::stop_record::{StopRecord, StopSight};
+pub use upstreams::quarantine_record::{QuarantineRecord, QuarantineSync};
+pub use upstreams::quarantine_task::{is_read_due, persist_quarantines};
 pub use upstreams::upstream_call::{call_store, call_upstream};
-pub use upstreams::upstream_ends::{note_request_answered, note_upstream_end};
+pub use upstreams::upstream_crashes::{note_request_answered, note_upstream_crash};
 pub use upstreams::upstream_table::{ListChange, UpstreamEntry, UpstreamTable, WeightVersion};
-pub use upstreams::word_watch::note_words;
 pub use upstreams::work_table::{ExpectedLoad, WorkShare, WorkTable, WorkTicket};
-pub use weights::order_duty::OrderDuty;
-pub use weights::rollout_state::{VersionRollout, useless_salt};
+pub use weights::order_task::OrderTask;
+pub use weights::rollout_state::{VersionRollout, is_salt_unreferenced};
 pub use weights::version_rollout::{RolloutEngine, loads_at_once, next_orders};
 pub use weights::version_targets::{
     VersionLimits, VersionTarget, VersionTargets, VersionUse, age_at_start,
--- a/crates/guava-serve/src/members/member_table.rs
+++ b/crates/guava-serve/src/members/member_table.rs
@@ -34,7 +34,7 @@
 
 /// What a daemon says of itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct MemberNote {
+pub struct MemberDescriptor {
     /// Its name.
     pub name: MemberName,
     /// Where it stands.
@@ -49,7 +49,7 @@
 
 #[derive(Clone, Debug)]
 struct MemberEntry {
-    note: MemberNote,
+    note: MemberDescriptor,
     /// Nothing if it is only known by its record in the store.
     heard: Option<Moment>,
     listed: Moment,
@@ -107,7 +107,7 @@
     }
 
     /// Takes in a daemon's record in the store; what the daemon says itself goes first.
-    pub fn note_record(&mut self, note: MemberNote, now: Moment) {
+    pub fn note_record(&mut self, note: MemberDescriptor, now: Moment) {
         let entry = self.members.entry(note.name.clone());
         let entry = entry.or_insert_with(|| MemberEntry {
             note: note.clone(),
@@ -127,7 +127,7 @@
     }
 
     /// Takes in what a daemon says; whether it was silent or unknown before.
-    pub fn note_heard(&mut self, note: MemberNote, now: Moment) -> bool {
+    pub fn note_from_peer(&mut self, note: MemberDescriptor, now: Moment) -> bool {
         let entry = self.members.get(&note.name);
         let before = entry.and_then(|entry| entry.heard);
         let was_serving = entry.is_some_and(|entry| entry.note.is_ready || entry.is_leaving);
@@ -169,8 +169,8 @@
         // relay at the same moment, which then passes on what hundreds say within milliseconds, over
         // a link of some megabits: its own messages are late, and what it relays is lost.
         let number = number.wrapping_add(own_offset(me));
-        let mut by_centre: FastMap<&DataCentre, Vec<&MemberNote>> = FastMap::default();
-        let mut silent: FastMap<&DataCentre, Vec<&MemberNote>> = FastMap::default();
+        let mut by_centre: FastMap<&DataCentre, Vec<&MemberDescriptor>> = FastMap::default();
+        let mut silent: FastMap<&DataCentre, Vec<&MemberDescriptor>> = FastMap::default();
         for entry in self.members.values().filter(|e| e.note.data_centre != self.data_centre) {
             let group = if self.is_living(entry, now) { &mut by_centre } else { &mut silent };
             group.entry(&entry.note.data_centre).or_default().push(&entry.note);
@@ -187,7 +187,7 @@
     }
 
     /// Daemons heard lately.
-    pub fn living(&self, now: Moment) -> impl Iterator<Item = &MemberNote> {
+    pub fn living(&self, now: Moment) -> impl Iterator<Item = &MemberDescriptor> {
         let living = self.members.values().filter(move |entry| self.is_living(entry, now));
         living.map(|entry| &entry.note)
     }
@@ -208,13 +208,13 @@
 
     /// How many daemons there are for each one whose prompts this daemon hears of at once.
     pub fn stands_for(&self) -> f64 {
-        let is_heard = |entry: &&MemberEntry| self.is_told_at_once(&entry.note.data_centre);
-        let heard = 1 + self.members.values().filter(is_heard).count();
+        let is_reachable = |entry: &&MemberEntry| self.gets_immediate(&entry.note.data_centre);
+        let heard = 1 + self.members.values().filter(is_reachable).count();
         self.count() as f64 / heard as f64
     }
 
     /// Whether a daemon of this data centre tells a daemon of another its prompts at once.
-    pub fn is_told_at_once(&self, other: &DataCentre) -> bool {
+    pub fn gets_immediate(&self, other: &DataCentre) -> bool {
         !self.is_large() || *other == self.data_centre
     }
 
@@ -227,25 +227,25 @@
     /// This daemon's place in an order of the living daemons that depends on a subject, 0 first:
     /// daemons with the same view agree on who goes first, and different subjects have different
     /// orders.
-    pub fn turn(&self, me: &MemberName, subject: &str, now: Moment) -> usize {
+    pub fn rank(&self, me: &MemberName, subject: &str, now: Moment) -> usize {
         self.turn_among(me, subject, |entry| self.has_duties(entry, now))
     }
 
     /// This daemon's place among those that read the platform's store for all; behind all others as
     /// long as it can't know whether there are any.
-    pub fn read_turn(&self, me: &MemberName, now: Moment) -> usize {
-        if self.is_listed { self.turn(me, READ_SUBJECT, now) } else { usize::MAX }
+    pub fn reader_rank(&self, me: &MemberName, now: Moment) -> usize {
+        if self.is_listed { self.rank(me, READ_SUBJECT, now) } else { usize::MAX }
     }
 
     /// This daemon's place among the daemons of its data centre that share a duty.
-    pub fn near_turn(&self, me: &MemberName, subject: &str, now: Moment) -> usize {
+    pub fn local_rank(&self, me: &MemberName, subject: &str, now: Moment) -> usize {
         let is_near = |entry: &MemberEntry| entry.note.data_centre == self.data_centre;
         self.turn_among(me, subject, |entry| is_near(entry) && self.has_duties(entry, now))
     }
 
     /// This daemon's place among all that are known, heard lately or not, for an upstream whose
     /// requests are limited; nothing as long as it can't know the others.
-    pub fn send_place(&self, me: &MemberName, upstream: &str) -> Option<usize> {
+    pub fn sender_rank(&self, me: &MemberName, upstream: &str) -> Option<usize> {
         self.is_listed.then(|| self.turn_among(me, upstream, |_| true))
     }
 
--- a/crates/guava-serve/src/members/peer_exchange.rs
+++ b/crates/guava-serve/src/members/peer_exchange.rs
@@ -2,19 +2,21 @@
 
 use crate::events;
 use crate::members::list_changes::MOST_TOLD;
-use crate::members::member_table::MemberNote;
+use crate::members::member_table::MemberDescriptor;
 use crate::members::peer_message::{ListedChange, LoadedVersion, PeerMessage, PublishedVersion};
 use crate::members::shared_reads::{ReadMark, ReadTracker, STANDBYS};
-use crate::parts::part_index::StoreWord;
-use crate::serve_parts::{ServeParts, UpstreamClock};
+use crate::parts::part_index::StoreUpdate;
+use crate::serve_context::{ServeContext, UpstreamClock};
+use crate::upstreams::announcement_watch::{
+    AnnouncementBatch, summary_announcements, take_leaving, take_limit, urgent_announcements,
+};
+use crate::upstreams::crash_notice::CrashNotice;
 use crate::upstreams::drain_table::DrainNotice;
-use crate::upstreams::end_notice::EndNotice;
-use crate::upstreams::stop_record::StopSight;
-use crate::upstreams::upstream_ends::{take_cleared, take_end, take_stop};
+use crate::upstreams::quarantine_record::QuarantineSync;
+use crate::upstreams::upstream_crashes::{take_cleared, take_crash, take_quarantine};
 use crate::upstreams::upstream_table::ListChange;
-use crate::upstreams::word_watch::{ToldWords, due_words, take_leaving, take_limit, told_words};
 use guava_log::log_event;
-use guava_policy::{ClearNotice, StopNotice};
+use guava_policy::{ClearNotice, QuarantineNotice};
 use guava_types::{Deadline, MemberName, Moment, TokenCount, UpstreamId};
 use std::fmt;
 use std::net::SocketAddr;
@@ -37,9 +39,9 @@
 
 /// What a daemon's duties have to tell the others.
 #[derive(Clone, Debug)]
-pub struct OwnNews {
+pub struct OwnSummary {
     /// This daemon.
-    pub note: MemberNote,
+    pub note: MemberDescriptor,
     /// Upstreams that load new weights at its order.
     pub loading: Vec<UpstreamId>,
     /// Engines that lately got their weights by its order.
@@ -51,12 +53,12 @@
 }
 
 /// What to tell the peers now.
-pub fn compose_message(parts: &ServeParts, news: OwnNews, now: Moment) -> PeerMessage {
+pub fn compose_message(parts: &ServeContext, news: OwnSummary, now: Moment) -> PeerMessage {
     let work = parts.work.borrow();
     let shares = work.own_shares().map(|(id, share)| (id.clone(), share)).collect();
     let reads = parts.reads.borrow();
     let listed = parts.list_changes.borrow_mut().told(now);
-    let words = told_words(parts, now);
+    let announcements = summary_announcements(parts, now);
     // A digest without all changes behind it would make everybody read the list.
     let is_list_told = listed.len() <= MOST_TOLD;
     PeerMessage {
@@ -65,7 +67,7 @@
         sent: std::mem::take(&mut parts.sent_prompts.borrow_mut()),
         loading: news.loading,
         targets: published(parts, now),
-        stores: store_words(parts, &news.followed, news.number),
+        stores: store_updates(parts, &news.followed, news.number),
         operator: reads.operator.own(),
         published_since: None,
         list: reads.list.own().filter(|_| is_list_told),
@@ -74,22 +76,22 @@
         listed: if is_list_told { listed } else { Vec::new() },
         slow_links: parts.links.borrow().slow_links(now),
         speeds: parts.speeds.borrow_mut().told(now),
-        ended: parts.crash_words.borrow_mut().repeated(now),
+        ended: parts.crash_gossip.borrow_mut().repeated(now),
         stops: told_stops(parts, now),
         cleared: told_cleared(parts),
-        knows_stops: tells_all_stops(parts, now),
+        knows_quarantines: tells_all_stops(parts, now),
         drains: parts.drains.borrow().notices(),
-        limits: words.limits,
-        leaving: words.leaving,
-        is_note: false,
+        limits: announcements.limits,
+        leaving: announcements.leaving,
+        is_immediate: false,
         is_continued: false,
         is_for_relay: false,
     }
 }
 
 /// Stopped requests as told: nearly always none. Where there are more than fit, others each time.
-fn told_stops(parts: &ServeParts, now: Moment) -> Vec<StopNotice> {
-    let mut stops: Vec<StopNotice> = parts.ledger.borrow().stops(now).collect();
+fn told_stops(parts: &ServeContext, now: Moment) -> Vec<QuarantineNotice> {
+    let mut stops: Vec<QuarantineNotice> = parts.ledger.borrow().stops(now).collect();
     if stops.len() > MOST_STOPS {
         let from = rand::random::<u64>() as usize % stops.len();
         stops.rotate_left(from);
@@ -99,18 +101,18 @@
 }
 
 /// Whether a message holds all that the records of stopped requests say.
-fn tells_all_stops(parts: &ServeParts, now: Moment) -> bool {
-    parts.stop_sight.get().is_known && parts.ledger.borrow().stops(now).count() <= MOST_STOPS
+fn tells_all_stops(parts: &ServeContext, now: Moment) -> bool {
+    parts.quarantine_sync.get().is_known && parts.ledger.borrow().stops(now).count() <= MOST_STOPS
 }
 
-fn told_cleared(parts: &ServeParts) -> Vec<ClearNotice> {
+fn told_cleared(parts: &ServeContext) -> Vec<ClearNotice> {
     parts.ledger.borrow().cleared().take(MOST_STOPS).collect()
 }
 
 /// A note on prompts that were just sent and upstreams that will load weights, if there are any.
 /// Until the next message all daemons would else take the same idle engine, and each prompt would
 /// wait for the others; or be refused by an engine that loads.
-pub fn compose_note(parts: &ServeParts, note: MemberNote) -> Option<PeerMessage> {
+pub fn compose_immediate(parts: &ServeContext, note: MemberDescriptor) -> Option<PeerMessage> {
     let sent = std::mem::take(&mut *parts.just_sent.borrow_mut());
     let loading = std::mem::take(&mut *parts.just_loading.borrow_mut());
     if sent.is_empty() && loading.is_empty() {
@@ -121,9 +123,14 @@
 
 /// Notes on upstreams that just ended, with the requests that are stopped or cleared for it. Told a
 /// second later, a request that ends what runs it would have been sent to some upstreams more.
-pub fn compose_end_notes(parts: &ServeParts, note: &MemberNote, now: Moment) -> Vec<PeerMessage> {
-    let ends = parts.crash_words.borrow_mut().take_fresh();
-    let message = |ended: Vec<EndNotice>| PeerMessage { ended, ..PeerMessage::empty(note.clone()) };
+pub fn compose_crash_notices(
+    parts: &ServeContext,
+    note: &MemberDescriptor,
+    now: Moment,
+) -> Vec<PeerMessage> {
+    let ends = parts.crash_gossip.borrow_mut().take_fresh();
+    let message =
+        |ended: Vec<CrashNotice>| PeerMessage { ended, ..PeerMessage::empty(note.clone()) };
     let mut messages: Vec<PeerMessage> = ends.into_iter().map(message).collect();
     if parts.verdicts_due.take() {
         let (stops, cleared) = (told_stops(parts, now), told_cleared(parts));
@@ -134,8 +141,8 @@
 }
 
 /// A note on what upstreams have just said of themselves, if there is any.
-pub fn compose_words(parts: &ServeParts, note: &MemberNote) -> Option<PeerMessage> {
-    let ToldWords { limits, leaving } = due_words(parts);
+pub fn compose_announcements(parts: &ServeContext, note: &MemberDescriptor) -> Option<PeerMessage> {
+    let AnnouncementBatch { limits, leaving } = urgent_announcements(parts);
     let is_due = !limits.is_empty() || !leaving.is_empty();
     is_due.then(|| PeerMessage { limits, leaving, ..PeerMessage::empty(note.clone()) })
 }
@@ -143,8 +150,12 @@
 /// What this daemon has read of the platform's store, if it reads for all; in several messages where
 /// the list changed much. Told to the daemons of all data centres directly, since a relay that is
 /// suspended would pass an old read on as a new one.
-pub fn compose_reads(parts: &ServeParts, note: &MemberNote, now: Moment) -> Vec<PeerMessage> {
-    let turn = parts.members.borrow().read_turn(&parts.identity.name, now);
+pub fn compose_reads(
+    parts: &ServeContext,
+    note: &MemberDescriptor,
+    now: Moment,
+) -> Vec<PeerMessage> {
+    let turn = parts.members.borrow().reader_rank(&parts.identity.name, now);
     if turn > STANDBYS {
         return Vec::new();
     }
@@ -166,14 +177,14 @@
     let last = messages.pop().unwrap_or_else(|| message(&[]));
     let published_since = reads.published_since;
     let targets = published(parts, now);
-    let (stops, knows_stops) = (told_stops(parts, now), tells_all_stops(parts, now));
+    let (stops, knows_quarantines) = (told_stops(parts, now), tells_all_stops(parts, now));
     messages.push(PeerMessage {
         operator,
         published_since,
         targets,
         list,
         stops,
-        knows_stops,
+        knows_quarantines,
         drains: parts.drains.borrow().notices(),
         ..last
     });
@@ -181,7 +192,7 @@
 }
 
 /// The newest published weights of each model, with the age of each publication.
-fn published(parts: &ServeParts, now: Moment) -> Vec<PublishedVersion> {
+fn published(parts: &ServeContext, now: Moment) -> Vec<PublishedVersion> {
     let targets = parts.targets.borrow();
     let published = targets.iter().map(|(model, target)| PublishedVersion {
         model: model.clone(),
@@ -194,24 +205,28 @@
 /// What to tell a daemon of this data centre that has just been heard: all that the followed stores
 /// hold, one in a message. Otherwise it would know after three seconds, when whole words come next,
 /// and have the parts read again until then.
-pub fn compose_greeting(parts: &ServeParts, news: &OwnNews, now: Moment) -> Vec<PeerMessage> {
+pub fn compose_initial_sync(
+    parts: &ServeContext,
+    news: &OwnSummary,
+    now: Moment,
+) -> Vec<PeerMessage> {
     let work = parts.work.borrow();
-    let index = parts.parts.borrow();
-    let words = news.followed.iter().filter_map(|store| index.whole_word(*store));
-    let told = words.map(|word| PeerMessage {
+    let index = parts.part_index.borrow();
+    let announcements = news.followed.iter().filter_map(|store| index.full_store_update(*store));
+    let told = announcements.map(|word| PeerMessage {
         shares: work.own_shares().map(|(id, share)| (id.clone(), share)).collect(),
         targets: published(parts, now),
         drains: parts.drains.borrow().notices(),
         stores: vec![cut_to(word, MOST_PARTS)],
         clock_ms: parts.upstream_clock_in(0, now),
-        is_note: false,
+        is_immediate: false,
         ..PeerMessage::empty(news.note.clone())
     });
     told.collect()
 }
 
 /// A word with so many parts at most; told in part, it is no whole list.
-fn cut_to(mut word: StoreWord, room: usize) -> StoreWord {
+fn cut_to(mut word: StoreUpdate, room: usize) -> StoreUpdate {
     if word.parts.len() > room {
         word.is_whole = false;
         let from = rand::random::<u64>() as usize % word.parts.len().max(1);
@@ -222,22 +237,22 @@
     word
 }
 
-fn store_words(parts: &ServeParts, followed: &[SocketAddr], number: u64) -> Vec<StoreWord> {
-    let mut index = parts.parts.borrow_mut();
+fn store_updates(parts: &ServeContext, followed: &[SocketAddr], number: u64) -> Vec<StoreUpdate> {
+    let mut index = parts.part_index.borrow_mut();
     let mut told = 0;
-    let mut words = Vec::new();
+    let mut announcements = Vec::new();
     for (place, store) in followed.iter().enumerate() {
         let is_whole = (number + place as u64).is_multiple_of(WHOLE_EVERY);
-        let Some(word) = index.store_word(*store, is_whole) else { continue };
+        let Some(word) = index.store_update(*store, is_whole) else { continue };
         let word = cut_to(word, MOST_PARTS - told);
         told += word.parts.len();
-        words.push(word);
+        announcements.push(word);
     }
-    words
+    announcements
 }
 
 /// Takes a peer's message in.
-pub fn take_message(parts: &ServeParts, message: PeerMessage, now: Moment) {
+pub fn take_message(parts: &ServeContext, message: PeerMessage, now: Moment) {
     let name = message.note.name.clone();
     if name == parts.identity.name {
         return;
@@ -245,14 +260,20 @@
     let address = message.note.peer_address;
     let is_ready = message.note.is_ready;
     let data_centre = message.note.data_centre.clone();
-    let is_told_at_once = parts.members.borrow().is_told_at_once(&data_centre);
-    if parts.members.borrow_mut().note_heard(message.note, now) {
-        log_event!(info, events::MEMBER_HEARD, member = name, address = address, ready = is_ready);
+    let gets_immediate = parts.members.borrow().gets_immediate(&data_centre);
+    if parts.members.borrow_mut().note_from_peer(message.note, now) {
+        log_event!(
+            info,
+            events::MEMBER_REACHABLE,
+            member = name,
+            address = address,
+            ready = is_ready
+        );
         let count = parts.members.borrow().count();
         parts.retries.borrow_mut().note_daemons(count);
         if data_centre == parts.identity.data_centre {
-            parts.newcomers.borrow_mut().push(address);
-            parts.note_due.notify_one();
+            parts.new_peers.borrow_mut().push(address);
+            parts.message_due.notify_one();
         }
     }
     let silent_ms = parts.members.borrow().silent_ms(&data_centre);
@@ -284,22 +305,22 @@
     }
     take_reads(parts, message.operator, message.list);
     for end in &message.ended {
-        take_end(parts, end, now);
+        take_crash(parts, end, now);
     }
     for notice in message.cleared {
         take_cleared(parts, notice, now);
     }
     for stop in message.stops {
-        take_stop(parts, stop, now);
+        take_quarantine(parts, stop, now);
     }
-    if message.knows_stops {
-        parts.stop_sight.set(StopSight { is_known: true, told: now });
+    if message.knows_quarantines {
+        parts.quarantine_sync.set(QuarantineSync { is_known: true, told: now });
     }
-    if message.is_note {
+    if message.is_immediate {
         for sent in &message.sent {
             let service_ms = parts.read_ms(&sent.engine, sent.waiting);
             parts.work.borrow_mut().note_peer_sent(&name, sent, service_ms, now);
-            let mut index = parts.parts.borrow_mut();
+            let mut index = parts.part_index.borrow_mut();
             index.note_sent(&sent.engine, &sent.parts, sent.tokens, now);
             let stands_for = parts.members.borrow().stands_for();
             for transfer in &sent.transfers {
@@ -311,31 +332,34 @@
     }
     if !message.is_continued {
         let mut shares = message.shares;
-        if is_told_at_once {
+        if gets_immediate {
             // Its prompts were told one by one; their sum would count what has been read by now.
             shares.values_mut().for_each(|share| share.waiting = TokenCount(0));
         }
         parts.work.borrow_mut().note_peer(&name, shares, Deadline::after(now, silent_ms), now);
     }
     for sent in &message.sent {
-        parts.parts.borrow_mut().note_sent(&sent.engine, &sent.parts, sent.tokens, now);
+        parts.part_index.borrow_mut().note_sent(&sent.engine, &sent.parts, sent.tokens, now);
     }
     for loaded in &message.loaded {
         let mut upstreams = parts.upstreams.borrow_mut();
         upstreams.note_loading(&loaded.engine, now.into());
         upstreams.note_version(&loaded.engine, &loaded.model, loaded.version);
     }
-    message.stores.into_iter().for_each(|word| parts.parts.borrow_mut().note_word(word, now));
+    message
+        .stores
+        .into_iter()
+        .for_each(|word| parts.part_index.borrow_mut().note_store_update(word, now));
     message.speeds.iter().for_each(|speed| parts.speeds.borrow_mut().note(speed));
     for link in message.slow_links {
-        parts.links.borrow_mut().note_told(&name, link, now);
+        parts.links.borrow_mut().note_from_peer(&name, link, now);
     }
     take_clock(parts, message.clock_ms, now);
 }
 
 /// Takes in that a peer speaks of a start of an upstream: it may know before this daemon that the
 /// upstream started again. Until its entry is there, nothing more goes to the one before.
-fn note_start(parts: &ServeParts, id: &UpstreamId, source: &MemberName) {
+fn note_start(parts: &ServeContext, id: &UpstreamId, source: &MemberName) {
     let mut upstreams = parts.upstreams.borrow_mut();
     let before = upstreams.newest_start(id.name()).and_then(|before| upstreams.entry(before));
     let address = before.map(|before| before.address);
@@ -371,18 +395,18 @@
 
 /// Takes in a change of the list of upstreams, unless a later record of the upstream is known.
 pub fn take_change(
-    parts: &ServeParts,
+    parts: &ServeContext,
     change: ListedChange,
     source: ListSource<'_>,
     now: Moment,
 ) -> ListChange {
     let mut upstreams = parts.upstreams.borrow_mut();
     let (name, revision) = (change.id().name(), change.revision());
-    let is_news = match source {
+    let is_change = match source {
         ListSource::Store => upstreams.order().admit_read(name, revision),
-        ListSource::Peer(_) => upstreams.order().admit_told(name, revision),
+        ListSource::Peer(_) => upstreams.order().admit_from_peer(name, revision),
     };
-    if !is_news {
+    if !is_change {
         return ListChange::Same;
     }
     let (id, found) = match change {
@@ -413,13 +437,13 @@
     found
 }
 
-fn take_reads(parts: &ServeParts, operator: Option<ReadMark>, list: Option<ReadMark>) {
+fn take_reads(parts: &ServeContext, operator: Option<ReadMark>, list: Option<ReadMark>) {
     let mut reads = parts.reads.borrow_mut();
     if let Some(mark) = operator {
-        reads.operator.note_heard(mark);
+        reads.operator.note_from_peer(mark);
     }
     if let Some(mark) = list {
-        reads.list.note_heard(mark);
+        reads.list.note_from_peer(mark);
     }
     if let Some(confirmed) = reads.operator.confirmed() {
         parts.config_confirmed.set(confirmed);
@@ -427,7 +451,7 @@
 }
 
 /// Only daemons that follow a store hear the upstreams' clock themselves.
-fn take_clock(parts: &ServeParts, clock_ms: Option<u64>, now: Moment) {
+fn take_clock(parts: &ServeContext, clock_ms: Option<u64>, now: Moment) {
     let Some(clock_ms) = clock_ms else { return };
     let is_old = |clock: UpstreamClock| now.millis_since(clock.read) > CLOCK_EXPIRY_MS;
     if parts.upstream_clock.get().is_none_or(is_old) {
@@ -436,7 +460,7 @@
 }
 
 /// Takes in that a data centre is drained, or taken back.
-pub fn take_drain(parts: &ServeParts, notice: &DrainNotice, now: Moment) {
+pub fn take_drain(parts: &ServeContext, notice: &DrainNotice, now: Moment) {
     if parts.drains.borrow_mut().note(notice, now) {
         log_event!(
             info,
@@ -449,7 +473,7 @@
 
 /// Takes in that weights were published by some moment at the latest.
 pub fn take_version(
-    parts: &ServeParts,
+    parts: &ServeContext,
     model: &guava_types::ModelName,
     version: crate::WeightVersion,
     learned: Moment,
--- a/crates/guava-serve/src/members/peer_message.rs
+++ b/crates/guava-serve/src/members/peer_message.rs
@@ -1,19 +1,19 @@
 //! What daemons tell each other: one small datagram, a few times a second.
 
-use crate::members::member_table::MemberNote;
+use crate::members::member_table::MemberDescriptor;
 use crate::members::shared_reads::ReadMark;
-use crate::parts::part_index::{PartNews, StoreWord};
+use crate::parts::part_index::{PartChange, StoreUpdate};
 use crate::parts::part_key::PartKey;
 use crate::parts::save_ledger::PartSave;
 use crate::parts::sent_prompt::SentPrompt;
 use crate::parts::store_links::{SlowLink, StoreTransfer};
+use crate::upstreams::crash_notice::CrashNotice;
 use crate::upstreams::drain_table::DrainNotice;
-use crate::upstreams::end_notice::EndNotice;
 use crate::upstreams::engine_speeds::EngineSpeed;
 use crate::upstreams::list_order::ListRevision;
 use crate::upstreams::upstream_table::{UpstreamEntry, WeightVersion};
 use crate::upstreams::work_table::WorkShare;
-use guava_policy::{ClearNotice, LimitNotice, StopNotice};
+use guava_policy::{ClearNotice, LimitNotice, QuarantineNotice};
 use guava_types::{
     Deadline, FastMap, LimitRate, ModelName, Moment, RequestDigest, TokenCount, TokenRate,
     UpstreamId,
@@ -172,7 +172,7 @@
     #[prost(message, repeated, tag = "15")]
     listed: Vec<WireListed>,
     #[prost(bool, tag = "16")]
-    is_note: bool,
+    is_immediate: bool,
     #[prost(bool, tag = "17")]
     is_for_relay: bool,
     #[prost(message, repeated, tag = "18")]
@@ -186,7 +186,7 @@
     #[prost(message, repeated, tag = "22")]
     cleared: Vec<WireCleared>,
     #[prost(bool, tag = "23")]
-    knows_stops: bool,
+    knows_quarantines: bool,
     #[prost(message, repeated, tag = "24")]
     drains: Vec<WireDrain>,
     #[prost(message, repeated, tag = "25")]
@@ -318,7 +318,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerMessage {
     /// Who speaks.
-    pub note: MemberNote,
+    pub note: MemberDescriptor,
     /// Its work at upstreams.
     pub shares: FastMap<UpstreamId, WorkShare>,
     /// Prompts that it sent since its last message.
@@ -328,7 +328,7 @@
     /// The newest published weights of each model.
     pub targets: Vec<PublishedVersion>,
     /// The stores of cached parts that it follows.
-    pub stores: Vec<StoreWord>,
+    pub stores: Vec<StoreUpdate>,
     /// How far it has read the operator's records itself.
     pub operator: Option<ReadMark>,
     /// From which offset on up to that one all records publish weights that `targets` has.
@@ -344,13 +344,13 @@
     /// Links of stores that its own fetches show to be slow.
     pub slow_links: Vec<SlowLink>,
     /// Upstreams that lately ended, with its requests that broke off there.
-    pub ended: Vec<EndNotice>,
+    pub ended: Vec<CrashNotice>,
     /// Requests that are stopped, as far as it knows.
-    pub stops: Vec<StopNotice>,
+    pub stops: Vec<QuarantineNotice>,
     /// Requests that it has lately found to do no harm.
     pub cleared: Vec<ClearNotice>,
     /// Whether it knows the records of stopped requests.
-    pub knows_stops: bool,
+    pub knows_quarantines: bool,
     /// Data centres that are, or were, drained.
     pub drains: Vec<DrainNotice>,
     /// How fast engines were that lately read its prompts.
@@ -360,7 +360,7 @@
     /// Upstreams that lately said that they leave.
     pub leaving: Vec<UpstreamId>,
     /// Whether this is a note on prompts just sent, and leaves all else as it was said before.
-    pub is_note: bool,
+    pub is_immediate: bool,
     /// Whether this goes on with a message that was too long for one datagram, and says nothing of
     /// its sender's work.
     pub is_continued: bool,
@@ -392,7 +392,7 @@
     }
 
     /// The note for the relay of another data centre; nothing if no prompt concerns it.
-    pub fn note_for_relay(&self, concerns: impl Fn(&SentPrompt) -> bool) -> Option<Self> {
+    pub fn message_for_relay(&self, concerns: impl Fn(&SentPrompt) -> bool) -> Option<Self> {
         let for_all = self.sent.iter().filter(|sent| concerns(sent));
         // Transfers begun in another data centre are reckoned there from its own.
         let plain = |sent: &SentPrompt| SentPrompt { transfers: Vec::new(), ..sent.clone() };
@@ -416,14 +416,14 @@
     pub fn continued(&self) -> Self {
         Self {
             is_continued: true,
-            is_note: self.is_note,
+            is_immediate: self.is_immediate,
             is_for_relay: self.is_for_relay,
             ..Self::empty(self.note.clone())
         }
     }
 
     /// A message that leaves all as it was said before.
-    pub fn empty(note: MemberNote) -> Self {
+    pub fn empty(note: MemberDescriptor) -> Self {
         Self {
             note,
             shares: FastMap::default(),
@@ -444,9 +444,9 @@
             ended: Vec::new(),
             stops: Vec::new(),
             cleared: Vec::new(),
-            knows_stops: false,
+            knows_quarantines: false,
             drains: Vec::new(),
-            is_note: true,
+            is_immediate: true,
             is_continued: false,
             is_for_relay: false,
         }
@@ -461,7 +461,7 @@
     pub fn encode(&self, now: Moment) -> Vec<u8> {
         let mark =
             |mark: ReadMark| WireMark { state: mark.state, age_ms: now.millis_since(mark.as_of) };
-        let store = |store: &StoreWord| WireStore {
+        let store = |store: &StoreUpdate| WireStore {
             store: store.store.to_string(),
             epoch: store.epoch,
             age_ms: now.millis_since(store.as_of),
@@ -526,12 +526,12 @@
             ended: self.ended.iter().map(|end| wire_ended(end, now)).collect(),
             stops: self.stops.iter().map(wire_stop).collect(),
             cleared: self.cleared.iter().map(|notice| wire_cleared(notice, now)).collect(),
-            knows_stops: self.knows_stops,
+            knows_quarantines: self.knows_quarantines,
             drains: self.drains.iter().map(wire_drain).collect(),
             speeds: self.speeds.iter().map(wire_speed).collect(),
             limits: self.limits.iter().map(|notice| wire_limit(notice, now)).collect(),
             leaving: self.leaving.iter().map(UpstreamId::to_string).collect(),
-            is_note: self.is_note,
+            is_immediate: self.is_immediate,
             is_continued: self.is_continued,
             is_for_relay: self.is_for_relay,
         };
@@ -549,11 +549,11 @@
         let mark =
             |mark: WireMark| ReadMark { state: mark.state, as_of: since.minus_millis(mark.age_ms) };
         let store = |store: WireStore| {
-            let news = |(key, tokens): (u64, u64)| PartNews {
+            let news = |(key, tokens): (u64, u64)| PartChange {
                 key: PartKey(key),
                 tokens: TokenCount(tokens),
             };
-            Some(StoreWord {
+            Some(StoreUpdate {
                 store: store.store.parse().ok()?,
                 epoch: store.epoch,
                 as_of: since.minus_millis(store.age_ms),
@@ -570,7 +570,7 @@
         };
         let wire = WirePeer::decode(bytes).ok()?;
         let address = |text: &str| text.parse::<SocketAddr>().ok();
-        let note = MemberNote {
+        let note = MemberDescriptor {
             name: wire.name.parse().ok()?,
             data_centre: wire.data_centre.parse().ok()?,
             peer_address: address(&wire.peer_address)?,
@@ -636,32 +636,32 @@
             clock_ms: wire.clock_ms,
             listed: wire.listed.iter().filter_map(|change| listed_change(change, now)).collect(),
             slow_links: wire.slow_links.iter().filter_map(slow_link).collect(),
-            ended: wire.ended.iter().filter_map(|end| end_notice(end, since)).collect(),
+            ended: wire.ended.iter().filter_map(|end| crash_notice(end, since)).collect(),
             stops: wire.stops.iter().filter_map(stop_notice).collect(),
             cleared: wire.cleared.iter().filter_map(|wire| clear_notice(wire, since)).collect(),
-            knows_stops: wire.knows_stops,
+            knows_quarantines: wire.knows_quarantines,
             drains: wire.drains.iter().filter_map(drain_notice).collect(),
             speeds: wire.speeds.iter().filter_map(engine_speed).collect(),
             limits: wire.limits.iter().filter_map(|wire| limit_notice(wire, since)).collect(),
             leaving: wire.leaving.iter().filter_map(|id| id.parse().ok()).collect(),
-            is_note: wire.is_note,
+            is_immediate: wire.is_immediate,
             is_continued: wire.is_continued,
             is_for_relay: wire.is_for_relay,
         })
     }
 }
 
-fn wire_ended(notice: &EndNotice, now: Moment) -> WireEnded {
+fn wire_ended(notice: &CrashNotice, now: Moment) -> WireEnded {
     let requests = notice.requests.iter().map(|digest| digest.to_bytes()).collect();
     let age_ms = now.millis_since(notice.at);
     WireEnded { upstream: notice.upstream.to_string(), requests, age_ms }
 }
 
-fn end_notice(wire: &WireEnded, now: Moment) -> Option<EndNotice> {
+fn crash_notice(wire: &WireEnded, now: Moment) -> Option<CrashNotice> {
     let requests =
         wire.requests.iter().filter_map(|bytes| RequestDigest::from_bytes(bytes)).collect();
     let at = now.minus_millis(wire.age_ms);
-    Some(EndNotice { upstream: wire.upstream.parse().ok()?, at, requests })
+    Some(CrashNotice { upstream: wire.upstream.parse().ok()?, at, requests })
 }
 
 fn wire_limit(notice: &LimitNotice, now: Moment) -> WireLimit {
@@ -697,14 +697,14 @@
     Some(ClearNotice { request, at: now.minus_millis(wire.age_ms) })
 }
 
-fn wire_stop(stop: &StopNotice) -> WireStop {
+fn wire_stop(stop: &QuarantineNotice) -> WireStop {
     let request = stop.request.to_bytes();
     WireStop { request, left_ms: stop.left_ms, times: stop.times }
 }
 
-fn stop_notice(wire: &WireStop) -> Option<StopNotice> {
+fn stop_notice(wire: &WireStop) -> Option<QuarantineNotice> {
     let request = RequestDigest::from_bytes(&wire.request)?;
-    Some(StopNotice { request, left_ms: wire.left_ms, times: wire.times })
+    Some(QuarantineNotice { request, left_ms: wire.left_ms, times: wire.times })
 }
 
 fn wire_drain(notice: &DrainNotice) -> WireDrain {
--- a/crates/guava-serve/src/members/peer_duty.rs
+++ b/crates/guava-serve/src/members/peer_task.rs
@@ -1,15 +1,15 @@
 //! Datagrams between daemons.
 
 use crate::members::lost_messages::MessageLoss;
-use crate::members::member_table::MemberNote;
+use crate::members::member_table::MemberDescriptor;
 use crate::members::message_split::datagrams;
 use crate::members::peer_exchange::{
-    OwnNews, compose_end_notes, compose_greeting, compose_message, compose_note, compose_reads,
-    compose_words, take_message,
+    OwnSummary, compose_announcements, compose_crash_notices, compose_immediate,
+    compose_initial_sync, compose_message, compose_reads, take_message,
 };
 use crate::members::peer_message::{MAX_DATAGRAM_BYTES, PeerMessage};
 use crate::parts::sent_prompt::SentPrompt;
-use crate::serve_parts::ServeParts;
+use crate::serve_context::ServeContext;
 use crate::weights::rollout_state::VersionRollout;
 use guava_types::{Deadline, Moment};
 use std::cell::{Cell, RefCell};
@@ -40,7 +40,7 @@
 #[derive(Clone)]
 pub struct OwnState {
     /// Who it is.
-    pub me: MemberNote,
+    pub me: MemberDescriptor,
     /// Whether callers should be sent to it.
     pub is_ready: Rc<Cell<bool>>,
     /// Weights under way.
@@ -50,7 +50,7 @@
 }
 
 /// Tells all daemons about this one, for ever.
-pub async fn tell_peers(parts: Rc<ServeParts>, socket: Rc<UdpSocket>, state: OwnState) {
+pub async fn send_summaries(parts: Rc<ServeContext>, socket: Rc<UdpSocket>, state: OwnState) {
     let mut far_due = Deadline::default();
     for number in 0.. {
         let now = Moment::now();
@@ -70,8 +70,8 @@
     }
 }
 
-fn own_news(state: &OwnState, number: u64, now: Moment) -> OwnNews {
-    OwnNews {
+fn own_news(state: &OwnState, number: u64, now: Moment) -> OwnSummary {
+    OwnSummary {
         note: own_note(state),
         loading: state.rollout.borrow().loading(now),
         loaded: state.rollout.borrow().lately_loaded(now),
@@ -80,13 +80,13 @@
     }
 }
 
-fn own_note(state: &OwnState) -> MemberNote {
-    MemberNote { is_ready: state.is_ready.get(), ..state.me.clone() }
+fn own_note(state: &OwnState) -> MemberDescriptor {
+    MemberDescriptor { is_ready: state.is_ready.get(), ..state.me.clone() }
 }
 
 /// Tells the daemons of all data centres what this one reads of the platform's store, for ever: now
 /// and then, and at once where they would read themselves otherwise.
-pub async fn tell_reads(parts: Rc<ServeParts>, socket: Rc<UdpSocket>, state: OwnState) {
+pub async fn send_read_marks(parts: Rc<ServeContext>, socket: Rc<UdpSocket>, state: OwnState) {
     loop {
         let now = Moment::now();
         for reads in compose_reads(&parts, &own_note(&state), now) {
@@ -102,7 +102,7 @@
 async fn send_to_all(
     socket: &UdpSocket,
     message: &PeerMessage,
-    parts: &ServeParts,
+    parts: &ServeContext,
     only_near: bool,
 ) {
     let addresses = parts.members.borrow().peer_addresses(only_near);
@@ -112,7 +112,7 @@
 async fn send(
     socket: &UdpSocket,
     message: &PeerMessage,
-    parts: &ServeParts,
+    parts: &ServeContext,
     addresses: Vec<SocketAddr>,
 ) {
     for bytes in datagrams(message, Moment::now()) {
@@ -123,7 +123,7 @@
 async fn send_datagram(
     socket: &UdpSocket,
     bytes: &[u8],
-    parts: &ServeParts,
+    parts: &ServeContext,
     addresses: &[SocketAddr],
 ) {
     let stale = Deadline::in_millis(STALE_MS);
@@ -143,26 +143,26 @@
     }
 }
 
-fn note_loss(parts: &ServeParts, loss: MessageLoss, reason: &impl Display) {
+fn note_loss(parts: &ServeContext, loss: MessageLoss, reason: &impl Display) {
     parts.lost_messages.borrow_mut().note(loss, reason, &parts.metrics, Moment::now());
 }
 
 /// Tells the daemons nearby about large prompts at once, for ever; those elsewhere of the ones that
 /// concern them.
-pub async fn tell_notes(parts: Rc<ServeParts>, socket: Rc<UdpSocket>, state: OwnState) {
+pub async fn send_immediate(parts: Rc<ServeContext>, socket: Rc<UdpSocket>, state: OwnState) {
     for number in 0.. {
-        parts.note_due.notified().await;
+        parts.message_due.notified().await;
         greet_newcomers(&parts, &socket, &state).await;
         let is_large = parts.members.borrow().is_large();
-        let mut notes = compose_end_notes(&parts, &own_note(&state), Moment::now());
-        notes.extend(compose_words(&parts, &own_note(&state)));
+        let mut notes = compose_crash_notices(&parts, &own_note(&state), Moment::now());
+        notes.extend(compose_announcements(&parts, &own_note(&state)));
         for note in notes {
             send_to_all(&socket, &note, &parts, is_large).await;
             if is_large {
                 tell_far(&parts, &socket, &note, number).await;
             }
         }
-        let Some(note) = compose_note(&parts, own_note(&state)) else { continue };
+        let Some(note) = compose_immediate(&parts, own_note(&state)) else { continue };
         // Engines that load concern daemons everywhere.
         let only_near = is_large && note.loading.is_empty();
         send_to_all(&socket, &note, &parts, only_near).await;
@@ -172,19 +172,19 @@
     }
 }
 
-async fn greet_newcomers(parts: &ServeParts, socket: &UdpSocket, state: &OwnState) {
-    let newcomers = std::mem::take(&mut *parts.newcomers.borrow_mut());
-    if newcomers.is_empty() {
+async fn greet_newcomers(parts: &ServeContext, socket: &UdpSocket, state: &OwnState) {
+    let new_peers = std::mem::take(&mut *parts.new_peers.borrow_mut());
+    if new_peers.is_empty() {
         return;
     }
     let now = Moment::now();
-    for greeting in compose_greeting(parts, &own_news(state, 0, now), now) {
-        send(socket, &greeting, parts, newcomers.clone()).await;
+    for greeting in compose_initial_sync(parts, &own_news(state, 0, now), now) {
+        send(socket, &greeting, parts, new_peers.clone()).await;
     }
 }
 
 /// Tells each other data centre, by way of a relay, of the prompts that concern it.
-async fn tell_far(parts: &ServeParts, socket: &UdpSocket, note: &PeerMessage, number: u64) {
+async fn tell_far(parts: &ServeContext, socket: &UdpSocket, note: &PeerMessage, number: u64) {
     let now = Moment::now();
     let relays = parts.members.borrow().relays(&parts.identity.name, number, now);
     for (data_centre, relay) in relays {
@@ -193,14 +193,14 @@
                 parts.upstreams.borrow().entry(&sent.engine).map(|e| e.data_centre.clone());
             sent.is_for_all || engine.is_some_and(|engine| engine == data_centre)
         };
-        if let Some(far) = note.note_for_relay(concerns) {
+        if let Some(far) = note.message_for_relay(concerns) {
             send(socket, &far, parts, vec![relay]).await;
         }
     }
 }
 
 /// Takes in what other daemons say, for ever.
-pub async fn hear_peers(parts: Rc<ServeParts>, socket: Rc<UdpSocket>) {
+pub async fn receive_messages(parts: Rc<ServeContext>, socket: Rc<UdpSocket>) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     // A datagram may have lain in the socket since it was last seen empty. Taken to have come when it
     // is read, what it says would look fresher than it is, by as long as this process did not run.
@@ -241,7 +241,7 @@
 }
 
 async fn take_datagram(
-    parts: &ServeParts,
+    parts: &ServeContext,
     socket: &UdpSocket,
     bytes: &[u8],
     sender: SocketAddr,
--- a/crates/guava-serve/src/members/retry_pause.rs
+++ b/crates/guava-serve/src/members/retry_pause.rs
@@ -6,7 +6,7 @@
 //! others ask ever more rarely.
 
 use crate::members::shared_reads::STANDBYS;
-use crate::serve_parts::ServeParts;
+use crate::serve_context::ServeContext;
 use guava_types::Moment;
 use std::time::Duration;
 
@@ -48,8 +48,8 @@
 }
 
 /// Whether others wait for what this daemon reads of the store, or it can't serve without.
-pub fn is_read_urgent(parts: &ServeParts) -> bool {
+pub fn is_read_urgent(parts: &ServeContext) -> bool {
     let has_config = parts.config.borrow().current().is_some();
-    let turn = parts.members.borrow().read_turn(&parts.identity.name, Moment::now());
+    let turn = parts.members.borrow().reader_rank(&parts.identity.name, Moment::now());
     !has_config || turn <= STANDBYS
 }
--- a/crates/guava-serve/src/members/shared_reads.rs
+++ b/crates/guava-serve/src/members/shared_reads.rs
@@ -102,7 +102,7 @@
     }
 
     /// Notes what another daemon read.
-    pub fn note_heard(&mut self, mark: ReadMark) {
+    pub fn note_from_peer(&mut self, mark: ReadMark) {
         if self.heard.is_none_or(|heard| heard.as_of < mark.as_of) {
             self.heard = Some(mark);
         }
@@ -134,14 +134,14 @@
     /// Whether a daemon must read now that has this turn among all, 0 first.
     pub fn is_due(&self, turn: usize, pace: ReadPace, now: Moment) -> bool {
         let (Some(own), Some(confirmed)) = (self.own, self.confirmed()) else { return true };
-        let is_news = |heard: ReadMark| heard.state != own.state && heard.as_of > own.as_of;
+        let is_change = |heard: ReadMark| heard.state != own.state && heard.as_of > own.as_of;
         let is_older = |read: Moment, limit_ms: u64| Deadline::after(read, limit_ms).passed(now);
         let is_old = match turn {
             0 => is_older(own.as_of, pace.pause_ms),
             1..=STANDBYS => is_older(confirmed, pace.standby_ms),
             _ => is_older(confirmed, pace.expiry_ms),
         };
-        is_old || self.heard.is_some_and(is_news)
+        is_old || self.heard.is_some_and(is_change)
     }
 }
 
@@ -160,8 +160,8 @@
 impl SharedReads {
     /// Notes which records of the operator this daemon read from an offset on. Where all of them are
     /// told by themselves, the others need not read them, which would be a call of each daemon.
-    pub fn note_records(&mut self, from: u64, count: usize, are_told: bool) {
-        if !are_told {
+    pub fn note_records(&mut self, from: u64, count: usize, are_gossiped: bool) {
+        if !are_gossiped {
             self.published_since = None;
         } else if count > 0 {
             self.published_since.get_or_insert(from);
--- a/crates/guava-serve/src/metrics.rs
+++ b/crates/guava-serve/src/metrics.rs
@@ -52,7 +52,7 @@
     store_calls: Family<KindLabel, Counter>,
     bad_records: Family<KindLabel, Counter>,
     lost_messages: Family<KindLabel, Counter>,
-    words: Family<KindLabel, Counter>,
+    announcements: Family<KindLabel, Counter>,
     limits: UpstreamLevels,
     limit_shares: UpstreamLevels,
     limited_sends: UpstreamLevels,
@@ -72,7 +72,7 @@
         let store_calls = Family::<KindLabel, Counter>::default();
         let bad_records = Family::<KindLabel, Counter>::default();
         let lost_messages = Family::<KindLabel, Counter>::default();
-        let words = Family::<KindLabel, Counter>::default();
+        let announcements = Family::<KindLabel, Counter>::default();
         let [limits, limit_shares, limited_sends] = [(); 3].map(|()| UpstreamLevels::default());
         let first_answer = Histogram::new(LATENCY_BOUNDS_S);
         let whole_answer = Histogram::new(LATENCY_BOUNDS_S);
@@ -88,7 +88,7 @@
         registry.register("upstream_limit", "Requests a second in all", limits.clone());
         registry.register("upstream_limit_share", "This daemon's part", limit_shares.clone());
         registry.register("upstream_limited_sends", "Sent a second", limited_sends.clone());
-        registry.register("upstream_words", "Changes of what upstreams say", words.clone());
+        registry.register("upstream_words", "Changes of what upstreams say", announcements.clone());
         registry.register("first_answer_seconds", "To the first byte", first_answer.clone());
         registry.register("whole_answer_seconds", "To the last byte", whole_answer.clone());
         registry.register("config_version", "In force", config_version.clone());
@@ -102,7 +102,7 @@
             store_calls,
             bad_records,
             lost_messages,
-            words,
+            announcements,
             limits,
             limit_shares,
             limited_sends,
@@ -151,8 +151,8 @@
     }
 
     /// Counts a change of what an upstream says of itself.
-    pub fn count_word(&self, kind: &'static str) {
-        self.words.get_or_create(&KindLabel { kind }).inc();
+    pub fn count_announcement(&self, kind: &'static str) {
+        self.announcements.get_or_create(&KindLabel { kind }).inc();
     }
 
     /// Notes the upstreams that have a limit, and no other.
--- a/crates/guava-serve/src/parts.rs
+++ b/crates/guava-serve/src/parts.rs
@@ -1,9 +1,9 @@
 //! Cached parts of prompts: where they lie, what moves them, and the duty that follows stores.
 
 pub(crate) mod cache_salt;
-pub(crate) mod part_duty;
 pub(crate) mod part_index;
 pub(crate) mod part_key;
+pub(crate) mod part_task;
 pub(crate) mod part_transfers;
 pub(crate) mod save_ledger;
 pub(crate) mod sent_prompt;
--- a/crates/guava-serve/src/parts/part_index.rs
+++ b/crates/guava-serve/src/parts/part_index.rs
@@ -76,12 +76,12 @@
     names: FastMap<PartKey, (Box<str>, Box<str>)>,
     used: u64,
     /// Changes since peers were last told.
-    news: Vec<PartNews>,
+    news: Vec<PartChange>,
 }
 
 /// A change in a store, as daemons tell each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PartNews {
+pub struct PartChange {
     /// Which part.
     pub key: PartKey,
     /// Its length; zero if it is gone.
@@ -90,7 +90,7 @@
 
 /// What a daemon that follows a store tells the others.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct StoreWord {
+pub struct StoreUpdate {
     /// Which store.
     pub store: SocketAddr,
     /// Changes with each restart of the store.
@@ -100,7 +100,7 @@
     /// Whether `parts` is all that the store holds.
     pub is_whole: bool,
     /// What it holds, or what changed.
-    pub parts: Vec<PartNews>,
+    pub parts: Vec<PartChange>,
 }
 
 #[derive(Debug, Default)]
@@ -174,7 +174,7 @@
                 PartEvent::Dropped { salt, id } => {
                     let key = PartKey::new(&salt, &id);
                     drop_part(contents, &key);
-                    contents.news.push(PartNews { key, tokens: TokenCount(0) });
+                    contents.news.push(PartChange { key, tokens: TokenCount(0) });
                 }
             }
         }
@@ -233,7 +233,7 @@
         if self.saves.is_under_way(&key, now) || self.holder(stores, salt, part, now).is_some() {
             return None;
         }
-        let has_room = |store: &&Rc<StoreTraits>| {
+        let has_capacity = |store: &&Rc<StoreTraits>| {
             let contents = self.confirmed(store.address, now);
             let taken = part.tokens.0 + self.saves.reserved(store.address, now).0;
             contents.is_some_and(|contents| contents.used + taken <= store.memory.0)
@@ -245,7 +245,7 @@
                 store.memory.0 as f64 * store.bytes_per_s as f64,
             )
         };
-        stores.iter().filter(has_room).max_by(|a, b| weight(a).total_cmp(&weight(b)))
+        stores.iter().filter(has_capacity).max_by(|a, b| weight(a).total_cmp(&weight(b)))
     }
 
     /// Notes that a part is being saved, by this daemon's order or a peer's.
@@ -316,13 +316,13 @@
     }
 
     /// Parts in a store whose salt is of no use any more, with the store's epoch.
-    pub fn useless_parts(
+    pub fn unreferenced_parts(
         &self,
         store: SocketAddr,
-        is_useless: impl Fn(&str) -> bool,
+        is_unreferenced: impl Fn(&str) -> bool,
     ) -> (u64, Vec<HeldPart>) {
         let Some(contents) = self.stores.get(&store) else { return (0, Vec::new()) };
-        let named = contents.names.iter().filter(|(_, (salt, _))| is_useless(salt));
+        let named = contents.names.iter().filter(|(_, (salt, _))| is_unreferenced(salt));
         let part = |(key, (salt, id)): (&PartKey, &(Box<str>, Box<str>))| HeldPart {
             salt: salt.clone(),
             id: id.clone(),
@@ -332,27 +332,27 @@
     }
 
     /// What to tell peers of a store that this daemon follows: all of it, or what changed.
-    pub fn store_word(&mut self, store: SocketAddr, is_whole: bool) -> Option<StoreWord> {
+    pub fn store_update(&mut self, store: SocketAddr, is_whole: bool) -> Option<StoreUpdate> {
         let contents = self.stores.get_mut(&store)?;
         let news = std::mem::take(&mut contents.news);
         if is_whole {
-            return self.whole_word(store);
+            return self.full_store_update(store);
         }
         let (epoch, as_of) = (contents.epoch, contents.confirmed);
-        Some(StoreWord { store, epoch, as_of, is_whole, parts: news })
+        Some(StoreUpdate { store, epoch, as_of, is_whole, parts: news })
     }
 
     /// All that a store holds, for a peer that has just been heard.
-    pub fn whole_word(&self, store: SocketAddr) -> Option<StoreWord> {
+    pub fn full_store_update(&self, store: SocketAddr) -> Option<StoreUpdate> {
         let contents = self.stores.get(&store)?;
         let held = contents.held.iter();
-        let parts = held.map(|(key, tokens)| PartNews { key: *key, tokens: *tokens }).collect();
+        let parts = held.map(|(key, tokens)| PartChange { key: *key, tokens: *tokens }).collect();
         let (epoch, as_of) = (contents.epoch, contents.confirmed);
-        Some(StoreWord { store, epoch, as_of, is_whole: true, parts })
+        Some(StoreUpdate { store, epoch, as_of, is_whole: true, parts })
     }
 
     /// Takes in what a peer says of a store that it follows; what the store says itself goes first.
-    pub fn note_word(&mut self, word: StoreWord, now: Moment) {
+    pub fn note_store_update(&mut self, word: StoreUpdate, now: Moment) {
         let heard = self.stores.get(&word.store).map(|contents| contents.heard);
         if heard.is_some_and(|heard| word.as_of.millis_since(heard) <= CONFIRMED_MS) {
             return;
@@ -389,7 +389,7 @@
     }
 }
 
-fn hold(contents: &mut StoreContents, part: PartNews) {
+fn hold(contents: &mut StoreContents, part: PartChange) {
     contents.used += part.tokens.0;
     if let Some(before) = contents.held.insert(part.key, part.tokens) {
         contents.used = contents.used.saturating_sub(before.0);
@@ -406,7 +406,7 @@
 /// Holds a part that the store itself reported.
 fn hold_named(contents: &mut StoreContents, part: HeldPart) {
     let key = PartKey::new(&part.salt, &part.id);
-    let news = PartNews { key, tokens: part.tokens };
+    let news = PartChange { key, tokens: part.tokens };
     hold(contents, news);
     contents.news.push(news);
     contents.names.insert(key, (part.salt, part.id));
--- a/crates/guava-serve/src/parts/part_duty.rs
+++ b/crates/guava-serve/src/parts/part_task.rs
@@ -3,8 +3,8 @@
 use crate::events;
 use crate::members::shared_reads::read_as_of;
 use crate::ports::{FreeOrder, PartPort, PortError};
-use crate::serve_parts::{ServeParts, UpstreamClock};
-use crate::weights::rollout_state::useless_salt;
+use crate::serve_context::{ServeContext, UpstreamClock};
+use crate::weights::rollout_state::is_salt_unreferenced;
 use guava_log::log_event;
 use guava_types::{FastMap, Moment};
 use std::cell::RefCell;
@@ -36,7 +36,7 @@
 
 /// Follows those of the stores that the configuration names that are this daemon's turn, for ever.
 pub async fn follow_stores(
-    parts: Rc<ServeParts>,
+    parts: Rc<ServeContext>,
     port: Rc<PartPort>,
     followed: Rc<RefCell<Vec<SocketAddr>>>,
 ) {
@@ -50,7 +50,7 @@
             let followers_near = if is_few { FOLLOWERS } else { 1 };
             let own: Vec<SocketAddr> = named
                 .into_iter()
-                .filter(|store| near_turn(&parts, *store, now) < followers_near)
+                .filter(|store| local_rank(&parts, *store, now) < followers_near)
                 .collect();
             followers.retain(|address, follower| {
                 let is_kept = own.contains(address);
@@ -76,16 +76,16 @@
 }
 
 /// This daemon's place among those of its data centre that may follow a store.
-fn near_turn(parts: &ServeParts, store: SocketAddr, now: Moment) -> usize {
-    parts.members.borrow().near_turn(&parts.identity.name, &store.to_string(), now)
+fn local_rank(parts: &ServeContext, store: SocketAddr, now: Moment) -> usize {
+    parts.members.borrow().local_rank(&parts.identity.name, &store.to_string(), now)
 }
 
 /// This daemon's place among all that may free parts in a store.
-fn turn(parts: &ServeParts, store: SocketAddr, now: Moment) -> usize {
-    parts.members.borrow().turn(&parts.identity.name, &store.to_string(), now)
+fn turn(parts: &ServeContext, store: SocketAddr, now: Moment) -> usize {
+    parts.members.borrow().rank(&parts.identity.name, &store.to_string(), now)
 }
 
-async fn follow_store(parts: Rc<ServeParts>, port: Rc<PartPort>, store: SocketAddr) {
+async fn follow_store(parts: Rc<ServeContext>, port: Rc<PartPort>, store: SocketAddr) {
     let mut since = 0;
     let mut is_known = false;
     loop {
@@ -95,7 +95,7 @@
             Err(error) => {
                 is_known = false;
                 since = 0;
-                parts.parts.borrow_mut().forget_store(store);
+                parts.part_index.borrow_mut().forget_store(store);
                 if was_known {
                     log_event!(warn, events::STORE_FORGOTTEN, store = store, reason = error);
                 }
@@ -110,7 +110,7 @@
 
 /// Takes one report in; whether the store's contents are known after it.
 async fn follow_once(
-    parts: &ServeParts,
+    parts: &ServeContext,
     port: &PartPort,
     store: SocketAddr,
     since: &mut u64,
@@ -122,14 +122,14 @@
         parts.upstream_clock.set(Some(UpstreamClock { clock_ms, read: now }));
     }
     if report.is_gapped {
-        parts.parts.borrow_mut().forget_store(store);
+        parts.part_index.borrow_mut().forget_store(store);
         let list = (port.list)(store).await?;
-        parts.parts.borrow_mut().note_list(store, list.epoch, list.held, asked);
+        parts.part_index.borrow_mut().note_list(store, list.epoch, list.held, asked);
         *since = list.next;
         return Ok(true);
     }
     let as_of = read_as_of(asked, WAIT_MS, report.events.is_empty(), now);
-    let mut index = parts.parts.borrow_mut();
+    let mut index = parts.part_index.borrow_mut();
     if !index.note_events(store, report.epoch, report.events, as_of) {
         // It restarted, so its numbers begin anew.
         *since = 0;
@@ -140,7 +140,7 @@
 }
 
 /// Frees parts of weights that no engine has any more, in the stores that are this daemon's turn.
-async fn free_useless(parts: &ServeParts, port: &PartPort) {
+async fn free_useless(parts: &ServeContext, port: &PartPort) {
     let Some(config) = parts.config.borrow().current().cloned() else { return };
     for store in config.stores.iter().filter(|store| store.is_managed) {
         let now = Moment::now();
@@ -150,8 +150,9 @@
         let (epoch, useless) = {
             let upstreams = parts.upstreams.borrow();
             let targets = parts.targets.borrow();
-            let is_useless = |salt: &str| useless_salt(salt, &upstreams, &targets, now);
-            parts.parts.borrow().useless_parts(store.address, is_useless)
+            let is_unreferenced =
+                |salt: &str| is_salt_unreferenced(salt, &upstreams, &targets, now);
+            parts.part_index.borrow().unreferenced_parts(store.address, is_unreferenced)
         };
         for chunk in useless.chunks(FREED_AT_ONCE) {
             let until_ms = parts.upstream_clock_in(FREE_MS, now);
--- a/crates/guava-serve/src/parts/store_links.rs
+++ b/crates/guava-serve/src/parts/store_links.rs
@@ -109,7 +109,7 @@
     }
 
     /// Takes in that a peer's fetches show a link to be slow.
-    pub fn note_told(&mut self, peer: &MemberName, link: SlowLink, now: Moment) {
+    pub fn note_from_peer(&mut self, peer: &MemberName, link: SlowLink, now: Moment) {
         let told = self.told.entry(link.store).or_default();
         told.retain(|_, (_, noted)| now.millis_since(*noted) < TOLD_EXPIRY_MS);
         told.insert(peer.clone(), (link.hundredths, now));
--- a/crates/guava-serve/src/ports.rs
+++ b/crates/guava-serve/src/ports.rs
@@ -4,7 +4,7 @@
 //! types. Which call is made when, and what follows from its result, is decided by the duties.
 
 use crate::parts::part_index::{HeldPart, PartEvent};
-use crate::upstreams::stop_record::StopRecord;
+use crate::upstreams::quarantine_record::QuarantineRecord;
 use crate::upstreams::upstream_table::WeightVersion;
 use futures_util::future::LocalBoxFuture;
 use guava_state::LeaseEntry;
@@ -34,7 +34,7 @@
 
 /// What a read of the lease's records brought.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct LeaseNews {
+pub struct LeaseUpdate {
     /// The newest record, if there was a new one.
     pub newest: Option<LeaseEntry>,
     /// Offset of the next record.
@@ -44,7 +44,7 @@
 /// The lease for orders, where daemons agree on it.
 pub struct LeasePort {
     /// Reads the records from an offset on; waits so many milliseconds for the first one.
-    pub read: Rc<dyn Fn(u64, u64) -> PortFuture<LeaseNews>>,
+    pub read: Rc<dyn Fn(u64, u64) -> PortFuture<LeaseUpdate>>,
     /// Writes a record if the next one still has this offset. Whether it was written shows only in
     /// what is read afterwards.
     pub request: Rc<dyn Fn(LeaseEntry, u64) -> PortFuture<()>>,
@@ -141,11 +141,11 @@
 }
 
 /// Records of stopped requests, where they outlast the daemons.
-pub struct StopPort {
+pub struct QuarantinePort {
     /// Reads all.
-    pub read: Rc<dyn Fn() -> PortFuture<Vec<StopRecord>>>,
+    pub read: Rc<dyn Fn() -> PortFuture<Vec<QuarantineRecord>>>,
     /// Writes one.
-    pub write: Rc<dyn Fn(StopRecord) -> PortFuture<()>>,
+    pub write: Rc<dyn Fn(QuarantineRecord) -> PortFuture<()>>,
     /// Drops one.
     pub remove: Rc<dyn Fn(RequestDigest) -> PortFuture<()>>,
 }
--- a/crates/guava-serve/src/request.rs
+++ b/crates/guava-serve/src/request.rs
@@ -3,6 +3,7 @@
 pub(crate) mod accepted_request;
 pub(crate) mod admit;
 pub(crate) mod answer_body;
+pub(crate) mod answer_timeout;
 pub(crate) mod attempt;
 pub(crate) mod attempt_plan;
 pub(crate) mod dialect;
@@ -14,7 +15,6 @@
 pub(crate) mod fresh_state;
 pub(crate) mod http_listener;
 pub(crate) mod outcome;
-pub(crate) mod patience;
 pub(crate) mod request_plan;
 pub(crate) mod request_run;
 pub(crate) mod retry_shares;
--- a/crates/guava-serve/src/request/admit.rs
+++ b/crates/guava-serve/src/request/admit.rs
@@ -2,7 +2,7 @@
 
 use crate::request::outcome::RefusalReason;
 use crate::serve_config::{CallerIdentity, RouteRule};
-use crate::serve_parts::ServeParts;
+use crate::serve_context::ServeContext;
 use guava_types::Moment;
 use std::rc::Rc;
 
@@ -36,7 +36,7 @@
 /// caller would take that for final. It says that the request has not run, and the caller tries
 /// another daemon.
 pub fn admit(
-    parts: &ServeParts,
+    parts: &ServeContext,
     host: &str,
     path: &str,
     key: Option<&str>,
@@ -57,13 +57,13 @@
 
 /// Bytes of a request that are held in memory; given back when this is dropped.
 pub struct HeldBytes {
-    parts: Rc<ServeParts>,
+    parts: Rc<ServeContext>,
     count: usize,
 }
 
 impl HeldBytes {
     /// Holds nothing yet.
-    pub fn new(parts: &Rc<ServeParts>) -> Self {
+    pub fn new(parts: &Rc<ServeContext>) -> Self {
         Self { parts: Rc::clone(parts), count: 0 }
     }
 
--- a/crates/guava-serve/src/request/patience.rs
+++ b/crates/guava-serve/src/request/answer_timeout.rs
@@ -2,7 +2,7 @@
 
 use crate::request::outcome::RefusalReason;
 use crate::serve_config::{RepeatRule, RouteRule};
-use guava_policy::FIRST_STOP_MS;
+use guava_policy::FIRST_QUARANTINE_MS;
 
 /// Part of a plain request's objective after which another upstream is tried. Answers take a
 /// fraction of it, and what is left must suffice for the second try.
@@ -17,16 +17,20 @@
 
 /// Milliseconds to wait for an answer, or for a stream's first event, before another upstream is
 /// tried; nothing if no other may be.
-pub fn first_answer_patience(route: &RouteRule, runs_before: u32, expected_ms: f64) -> Option<u64> {
+pub fn first_answer_timeout_ms(
+    route: &RouteRule,
+    runs_before: u32,
+    expected_ms: f64,
+) -> Option<u64> {
     if !route.repeat.may_repeat() || runs_before + 1 >= route.max_attempts {
         return None;
     }
     let objective = route.objective_ms as f64;
-    let patience = match route.repeat {
+    let answer_timeout = match route.repeat {
         RepeatRule::ResumableStream => (objective * STREAM_PART).max(expected_ms * EXPECTED_TIMES),
         _ => objective * PLAIN_PART,
     };
-    Some(patience as u64)
+    Some(answer_timeout as u64)
 }
 
 /// Spread of the callers that return when an upstream may get requests again, in milliseconds.
@@ -46,7 +50,7 @@
         // A burst that fills all engines lasts for seconds; their runs end within two.
         RefusalReason::Crowded => 1_000,
         // Where it is known for how long, that is said instead.
-        RefusalReason::Stopped => FIRST_STOP_MS,
+        RefusalReason::Stopped => FIRST_QUARANTINE_MS,
         RefusalReason::UpstreamsClosed => CLOSED_MS,
     };
     base + draw % base
--- a/crates/guava-serve/src/request/attempt.rs
+++ b/crates/guava-serve/src/request/attempt.rs
@@ -10,12 +10,12 @@
 use crate::request::fresh_state::await_fresh_list;
 use crate::request::request_plan::{PlanInput, can_place};
 use crate::request::send_gate::{GateState, pass_gate};
-use crate::serve_parts::ServeParts;
+use crate::serve_context::ServeContext;
+use crate::upstreams::announcement_watch::note_announcements;
 use crate::upstreams::connection_pool::{ExchangeError, UpstreamConnection};
 use crate::upstreams::engine_speeds::EngineSpeed;
-use crate::upstreams::upstream_ends::{note_answer, note_break, note_refused};
+use crate::upstreams::upstream_crashes::{note_answer, note_interrupted, note_refused};
 use crate::upstreams::upstream_table::WeightVersion;
-use crate::upstreams::word_watch::note_words;
 use crate::upstreams::work_table::WorkTicket;
 use bytes::{Bytes, BytesMut};
 use guava_log::log_event;
@@ -34,7 +34,7 @@
 
 /// Work at an upstream; over when this is dropped.
 pub struct WorkGuard {
-    parts: Rc<ServeParts>,
+    parts: Rc<ServeContext>,
     ticket: WorkTicket,
     fetch: Option<FetchTicket>,
     is_long: bool,
@@ -42,13 +42,13 @@
 
 impl WorkGuard {
     /// Notes work from now on.
-    pub fn begin(parts: &Rc<ServeParts>, plan: &AttemptPlan) -> Self {
+    pub fn begin(parts: &Rc<ServeContext>, plan: &AttemptPlan) -> Self {
         let now = Moment::now();
         let ticket = parts.work.borrow_mut().begin(&plan.send.upstream, &plan.load, now);
         let wait = plan.wait.as_ref().filter(|wait| !wait.stores.is_empty());
         let fetch = wait.map(|wait| parts.links.borrow_mut().begin(wait, now));
         if plan.is_long {
-            parts.trust.borrow_mut().begin(ticket.number(), plan.load.answer_ms, now);
+            parts.memory_budget.borrow_mut().begin(ticket.number(), plan.load.answer_ms, now);
         }
         Self { parts: Rc::clone(parts), ticket, fetch, is_long: plan.is_long }
     }
@@ -57,7 +57,7 @@
         let now = Moment::now();
         self.parts.work.borrow_mut().started(&self.ticket, now);
         if std::mem::take(&mut self.is_long) {
-            self.parts.trust.borrow_mut().started(self.ticket.number(), now);
+            self.parts.memory_budget.borrow_mut().started(self.ticket.number(), now);
         }
         if let Some(fetch) = self.fetch.take() {
             self.parts.links.borrow_mut().arrived(&fetch, now);
@@ -70,7 +70,7 @@
         let now = Moment::now();
         self.parts.work.borrow_mut().end(&self.ticket, now);
         if self.is_long {
-            self.parts.trust.borrow_mut().dropped(self.ticket.number(), now);
+            self.parts.memory_budget.borrow_mut().dropped(self.ticket.number(), now);
         }
         if let Some(fetch) = &self.fetch {
             self.parts.links.borrow_mut().dropped(fetch, now);
@@ -158,8 +158,8 @@
     future: impl Future<Output = T>,
 ) -> Waited<T> {
     let mut future = std::pin::pin!(future);
-    if let Some(patience) = plan.patience {
-        let first = patience.earlier(plan.deadline);
+    if let Some(answer_timeout) = plan.answer_timeout {
+        let first = answer_timeout.earlier(plan.deadline);
         if let Some(done) = until(first, &mut future).await {
             return Waited::Done(done);
         }
@@ -179,7 +179,7 @@
 
 /// A request and its plan, as the steps of one send see them.
 struct Attempt<'a> {
-    parts: &'a Rc<ServeParts>,
+    parts: &'a Rc<ServeContext>,
     request: &'a AcceptedRequest,
     plan: &'a AttemptPlan,
     input: PlanInput<'a>,
@@ -187,7 +187,7 @@
 
 /// Sends a request once.
 pub async fn attempt(
-    parts: &Rc<ServeParts>,
+    parts: &Rc<ServeContext>,
     input: PlanInput<'_>,
     plan: &AttemptPlan,
 ) -> AttemptEnd {
@@ -234,7 +234,7 @@
             Waited::TimedOut => return self.given_up(AttemptEnd::TimedOut),
         };
         let marks = (self.parts.dialect.marks)(answer.status(), answer.headers());
-        self.note_words(&marks, sent);
+        self.note_announcements(&marks, sent);
         // An answer to an earlier request on this connection, or a second one.
         if marks.request.as_deref().is_some_and(|answered| answered != &*self.request.id) {
             return self.lost("the answer belongs to another request");
@@ -290,7 +290,7 @@
                 AttemptEnd::NotSent
             }
             ExchangeError::NoAnswer { .. } => {
-                note_break(self.parts, upstream, self.request.digest());
+                note_interrupted(self.parts, upstream, self.request.digest());
                 AttemptEnd::Lost
             }
         }
@@ -298,7 +298,7 @@
 
     /// The connection ended before the answer was whole.
     fn broken(&self, reason: &str) -> AttemptEnd {
-        note_break(self.parts, &self.plan.send.upstream, self.request.digest());
+        note_interrupted(self.parts, &self.plan.send.upstream, self.request.digest());
         self.lost(reason)
     }
 
@@ -314,7 +314,7 @@
 
     fn note_failure(&self, reason: &str) {
         let upstream = &self.plan.send.upstream;
-        self.parts.work.borrow_mut().stumbled(upstream, Moment::now());
+        self.parts.work.borrow_mut().note_failed_answer(upstream, Moment::now());
         log_event!(
             warn,
             events::SEND_FAILED,
@@ -326,9 +326,9 @@
     }
 
     /// Takes in what the upstream says of itself; what another one at its address says is not its word.
-    fn note_words(&self, marks: &AnswerMarks, sent: Moment) {
+    fn note_announcements(&self, marks: &AnswerMarks, sent: Moment) {
         if !self.is_others(marks) {
-            note_words(self.parts, &self.plan.send.upstream, &marks.words, sent);
+            note_announcements(self.parts, &self.plan.send.upstream, &marks.announcements, sent);
         }
     }
 
@@ -522,7 +522,7 @@
     }
 
     /// Gives the connection back after the stream's end.
-    pub fn finish(self, parts: &ServeParts) {
+    pub fn finish(self, parts: &ServeContext) {
         if !self.marks.is_last && self.marks.is_framed {
             parts.pool.keep(self.connection, self.marks.idle_limit_ms);
         }
--- a/crates/guava-serve/src/request/attempt_plan.rs
+++ b/crates/guava-serve/src/request/attempt_plan.rs
@@ -21,7 +21,7 @@
     /// Whether it is a long prompt, which shows how full engines are.
     pub is_long: bool,
     /// When another upstream is tried, if one may be.
-    pub patience: Option<Deadline>,
+    pub answer_timeout: Option<Deadline>,
     /// When nobody waits any more.
     pub deadline: Deadline,
 }
--- a/crates/guava-serve/src/request/dialect.rs
+++ b/crates/guava-serve/src/request/dialect.rs
@@ -5,7 +5,7 @@
 use crate::request::accepted_request::AcceptedRequest;
 use crate::upstreams::upstream_table::WeightVersion;
 use bytes::Bytes;
-use guava_policy::AnswerWords;
+use guava_policy::UpstreamAnnouncements;
 use guava_types::UpstreamId;
 use http::{HeaderMap, Request, StatusCode};
 use http_body_util::Full;
@@ -63,7 +63,7 @@
     /// Whether the body's end can be told from a connection that broke.
     pub is_framed: bool,
     /// What the upstream says of itself.
-    pub words: AnswerWords,
+    pub announcements: UpstreamAnnouncements,
 }
 
 /// The functions of one dialect.
--- a/crates/guava-serve/src/request/dispatch.rs
+++ b/crates/guava-serve/src/request/dispatch.rs
@@ -3,15 +3,15 @@
 use crate::events;
 use crate::request::accepted_request::AcceptedRequest;
 use crate::request::answer_body::AnswerBody;
+use crate::request::answer_timeout::return_after_ms;
 use crate::request::attempt::WholeAnswer;
 use crate::request::event_relay::relay;
 use crate::request::outcome::{RefusalReason, SendRecord, ServeOutcome};
-use crate::request::patience::return_after_ms;
 use crate::request::request_plan::draw_service;
 use crate::request::request_run::{RequestRun, SendResult};
 use crate::request::send_gate::reopening;
 use crate::serve_config::ServeConfig;
-use crate::serve_parts::ServeParts;
+use crate::serve_context::ServeContext;
 use guava_log::log_event;
 use guava_types::{Deadline, Moment};
 use http::Response;
@@ -23,7 +23,7 @@
 
 /// Serves a request: from the choice of an upstream to its answer.
 pub async fn serve_request(
-    parts: &Rc<ServeParts>,
+    parts: &Rc<ServeContext>,
     config: &Rc<ServeConfig>,
     request: AcceptedRequest,
 ) -> ServeOutcome {
@@ -54,7 +54,7 @@
         }
         SendResult::GivenUp { is_over } => match run.record.refusal() {
             Some(RefusalReason::Stopped) => {
-                stopped(parts, &request, run.record.stopped_until.unwrap_or_default())
+                stopped(parts, &request, run.record.quarantined_until.unwrap_or_default())
             }
             Some(_) if is_over => refused(parts, &request, RefusalReason::TooLate),
             Some(reason) => refuse_until_open(&run, reason),
@@ -63,7 +63,7 @@
     }
 }
 
-fn answered(parts: &ServeParts, request: &AcceptedRequest, answer: WholeAnswer) -> ServeOutcome {
+fn answered(parts: &ServeContext, request: &AcceptedRequest, answer: WholeAnswer) -> ServeOutcome {
     let elapsed = Moment::now().millis_since(request.arrived);
     parts.metrics.time_first(elapsed);
     parts.metrics.time_whole(elapsed);
@@ -83,7 +83,7 @@
 }
 
 /// Refuses a request that is stopped until some moment, and can't be served before.
-fn stopped(parts: &ServeParts, request: &AcceptedRequest, until: Deadline) -> ServeOutcome {
+fn stopped(parts: &ServeContext, request: &AcceptedRequest, until: Deadline) -> ServeOutcome {
     let left_ms = until.millis_left(Moment::now()).max(LEAST_STOP_MS);
     refused_for(parts, request, RefusalReason::Stopped, left_ms)
 }
@@ -100,12 +100,12 @@
     refused_for(&run.parts, &run.request, closed, opens.millis_since(now) + spread_ms)
 }
 
-fn refused(parts: &ServeParts, request: &AcceptedRequest, reason: RefusalReason) -> ServeOutcome {
+fn refused(parts: &ServeContext, request: &AcceptedRequest, reason: RefusalReason) -> ServeOutcome {
     refused_for(parts, request, reason, return_after_ms(reason, rand::random()))
 }
 
 fn refused_for(
-    parts: &ServeParts,
+    parts: &ServeContext,
     request: &AcceptedRequest,
     reason: RefusalReason,
     return_after_ms: u64,
@@ -123,7 +123,7 @@
     ServeOutcome::NotRun { reason, return_after_ms }
 }
 
-fn lost(parts: &ServeParts, request: &AcceptedRequest, is_over: bool, runs: u32) -> ServeOutcome {
+fn lost(parts: &ServeContext, request: &AcceptedRequest, is_over: bool, runs: u32) -> ServeOutcome {
     parts.metrics.count_request(if is_over { "timed-out" } else { "lost" });
     log_event!(
         warn,
@@ -139,13 +139,13 @@
 
 /// Logs that a caller left while it waited: its request is dropped with all that it uses.
 struct CallerWatch {
-    parts: Rc<ServeParts>,
+    parts: Rc<ServeContext>,
     request: Rc<AcceptedRequest>,
     is_armed: bool,
 }
 
 impl CallerWatch {
-    fn new(parts: &Rc<ServeParts>, request: &Rc<AcceptedRequest>) -> Self {
+    fn new(parts: &Rc<ServeContext>, request: &Rc<AcceptedRequest>) -> Self {
         Self { parts: Rc::clone(parts), request: Rc::clone(request), is_armed: true }
     }
 
--- a/crates/guava-serve/src/request/engine_choice.rs
+++ b/crates/guava-serve/src/request/engine_choice.rs
@@ -9,7 +9,7 @@
 use crate::request::engine_input::EngineInput;
 use crate::upstreams::upstream_table::{UpstreamEntry, WeightVersion};
 use crate::weights::version_targets::VersionUse;
-use guava_policy::{CandidateCost, RouteCandidate, RouteInput, decide_route, has_room};
+use guava_policy::{CandidateCost, RouteCandidate, RouteInput, decide_route, has_capacity};
 use guava_state::WeightProfile;
 use guava_types::{FastMap, MemberName, Moment, TokenCount, UpstreamId};
 use std::net::SocketAddr;
@@ -140,8 +140,8 @@
     let memory = input.traits.memory;
     // A configuration that does not say how much memory engines have gives no reason to wait.
     let is_told = memory.0 > 0;
-    let has_room = has_room(memory, input.memory_part, total.memory, input.prompt.memory());
-    is_told && total.running > 0 && !has_room
+    let has_capacity = has_capacity(memory, input.memory_part, total.memory, input.prompt.memory());
+    is_told && total.running > 0 && !has_capacity
 }
 
 /// Whether a prompt is long: a few of them fill an engine's memory.
--- a/crates/guava-serve/src/request/event_relay.rs
+++ b/crates/guava-serve/src/request/event_relay.rs
@@ -3,12 +3,12 @@
 use crate::arrival::until;
 use crate::events;
 use crate::request::answer_body::{AnswerBody, BrokenStream};
+use crate::request::answer_timeout::EVENT_GAP_MS;
 use crate::request::attempt::{OpenStream, StreamSource, StreamStep};
 use crate::request::event_framer::EventBatch;
-use crate::request::patience::EVENT_GAP_MS;
 use crate::request::request_run::{RequestRun, SendResult};
 use crate::serve_config::RepeatRule;
-use crate::upstreams::upstream_ends::{note_answer, note_break};
+use crate::upstreams::upstream_crashes::{note_answer, note_interrupted};
 use bytes::Bytes;
 use futures_util::stream::{self, StreamExt};
 use guava_log::log_event;
@@ -116,7 +116,7 @@
             };
             match until(limit, source.next()).await {
                 Some(StreamStep::Broken(reason)) => {
-                    note_break(&self.run.parts, &source.upstream, self.run.request.digest());
+                    note_interrupted(&self.run.parts, &source.upstream, self.run.request.digest());
                     return StreamStep::Broken(reason);
                 }
                 Some(step) => return step,
@@ -137,7 +137,7 @@
     /// meanwhile: where no other takes the stream, it goes on itself.
     async fn take_up(&mut self, reason: &str) -> Result<Option<EventBatch>, BrokenStream> {
         let broken = |reason: &str| BrokenStream { reason: reason.into() };
-        self.run.parts.work.borrow_mut().stumbled(&self.passed.upstream, Moment::now());
+        self.run.parts.work.borrow_mut().note_failed_answer(&self.passed.upstream, Moment::now());
         if self.run.request.route.repeat != RepeatRule::ResumableStream {
             return Err(broken(reason));
         }
--- a/crates/guava-serve/src/request/fresh_state.rs
+++ b/crates/guava-serve/src/request/fresh_state.rs
@@ -7,7 +7,7 @@
 //! away: then nothing changes that anybody could know of.
 
 use crate::members::shared_reads::ReadTracker;
-use crate::serve_parts::ServeParts;
+use crate::serve_context::ServeContext;
 use guava_types::{Deadline, Moment};
 use std::time::Duration;
 use tokio::time::sleep;
@@ -26,24 +26,24 @@
     tracker.confirmed().is_some_and(|confirmed| now.millis_since(confirmed) > stale_ms)
 }
 
-fn is_list_stale(parts: &ServeParts) -> bool {
+fn is_list_stale(parts: &ServeContext) -> bool {
     let is_stale = is_stale(&parts.reads.borrow().list, parts.bounds.leave_limit_ms, Moment::now());
-    is_stale && !parts.upstreams.borrow().is_away()
+    is_stale && !parts.upstreams.borrow().is_unavailable()
 }
 
-fn is_config_stale(parts: &ServeParts) -> bool {
+fn is_config_stale(parts: &ServeContext) -> bool {
     let limit_ms = parts.bounds.config_limit_ms;
     let is_stale = is_stale(&parts.reads.borrow().operator, limit_ms, Moment::now());
-    is_stale && !parts.is_operator_away.get()
+    is_stale && !parts.is_operator_unavailable.get()
 }
 
 /// Waits until the list of upstreams is fresh enough to send by.
-pub async fn await_fresh_list(parts: &ServeParts) {
+pub async fn await_fresh_list(parts: &ServeContext) {
     hold_while(|| is_list_stale(parts)).await;
 }
 
 /// Waits until the configuration is fresh enough to admit by.
-pub async fn await_fresh_config(parts: &ServeParts) {
+pub async fn await_fresh_config(parts: &ServeContext) {
     hold_while(|| is_config_stale(parts)).await;
 }
 
--- a/crates/guava-serve/src/request/outcome.rs
+++ b/crates/guava-serve/src/request/outcome.rs
@@ -87,7 +87,7 @@
     /// Whether it was held here until its time to start was over.
     pub was_held: bool,
     /// Until when it is stopped, if upstreams end under it.
-    pub stopped_until: Option<Deadline>,
+    pub quarantined_until: Option<Deadline>,
 }
 
 impl SendRecord {
@@ -96,7 +96,7 @@
         if self.runs > 0 {
             return None;
         }
-        Some(if self.stopped_until.is_some() {
+        Some(if self.quarantined_until.is_some() {
             RefusalReason::Stopped
         } else if self.was_held {
             RefusalReason::Crowded
--- a/crates/guava-serve/src/request/request_plan.rs
+++ b/crates/guava-serve/src/request/request_plan.rs
@@ -1,21 +1,21 @@
 //! Plans one send: service, upstream, and what the upstream is told.
 
 use crate::events;
-use crate::members::member_table::MemberNote;
+use crate::members::member_table::MemberDescriptor;
 use crate::parts::part_key::PartKey;
 use crate::parts::save_ledger::PartSave;
 use crate::parts::sent_prompt::SentPrompt;
 use crate::request::accepted_request::{AcceptedRequest, PromptShape};
+use crate::request::answer_timeout::first_answer_timeout_ms;
 use crate::request::attempt_plan::AttemptPlan;
 use crate::request::dialect::{EngineOrders, SendPlan};
 use crate::request::engine_choice::{EngineChoice, choose_engine};
 use crate::request::engine_input::EngineInput;
 use crate::request::outcome::SendRecord;
-use crate::request::patience::first_answer_patience;
 use crate::request::send_gate::closed_upstreams;
 use crate::request::service_choice::{ServiceInput, choose_instance};
 use crate::serve_config::{EngineTraits, RouteRule, ServeConfig};
-use crate::serve_parts::ServeParts;
+use crate::serve_context::ServeContext;
 use crate::upstreams::work_table::ExpectedLoad;
 use guava_log::log_event;
 use guava_types::{Deadline, MemberName, Moment, ServiceName, TokenCount, UpstreamId};
@@ -46,7 +46,7 @@
 #[derive(Clone, Copy)]
 pub struct PlanInput<'a> {
     /// The parts of the request path.
-    pub parts: &'a ServeParts,
+    pub parts: &'a ServeContext,
     /// The configuration that the request was accepted under.
     pub config: &'a ServeConfig,
     /// The request.
@@ -151,7 +151,7 @@
     let service = input.config.service(input.service)?;
     let address = input.parts.upstreams.borrow().entry(&upstream)?.address;
     let now = Moment::now();
-    let patience = first_answer_patience(&request.route, input.record.runs, load.answer_ms);
+    let answer_timeout = first_answer_timeout_ms(&request.route, input.record.runs, load.answer_ms);
     let send = SendPlan {
         upstream,
         address,
@@ -166,7 +166,7 @@
         load,
         wait: None,
         is_long: false,
-        patience: patience.map(|millis| Deadline::after(now, millis)),
+        answer_timeout: answer_timeout.map(|millis| Deadline::after(now, millis)),
         deadline: request.deadline,
     })
 }
@@ -237,7 +237,7 @@
     let parts = input.parts;
     let now = Moment::now();
     let members = parts.members.borrow();
-    let is_near = |note: &&MemberNote| note.data_centre == parts.identity.data_centre;
+    let is_near = |note: &&MemberDescriptor| note.data_centre == parts.identity.data_centre;
     let peers: Vec<MemberName> =
         members.living(now).filter(is_near).map(|note| note.name.clone()).collect();
     drop(members);
@@ -249,14 +249,14 @@
         stores: &input.config.stores,
         upstreams: &parts.upstreams.borrow(),
         work: &parts.work.borrow(),
-        parts: &parts.parts.borrow(),
+        parts: &parts.part_index.borrow(),
         links: &parts.links.borrow(),
         targets: &parts.targets.borrow(),
         version_limits: parts.bounds.version_limits,
         prefill: parts.prefill.borrow().rate(),
         speeds: &parts.speeds.borrow(),
         fixed_ms: parts.prefill.borrow().fixed_ms(),
-        memory_part: parts.trust.borrow_mut().part(now),
+        memory_part: parts.memory_budget.borrow_mut().part(now),
         me: &parts.identity.name,
         peers: &peers,
         data_centre: &parts.identity.data_centre,
@@ -267,7 +267,7 @@
     })
 }
 
-fn engine_orders(parts: &ServeParts, choice: EngineChoice, now: Moment) -> EngineOrders {
+fn engine_orders(parts: &ServeContext, choice: EngineChoice, now: Moment) -> EngineOrders {
     // Without the upstreams' clock a fetch can't be bounded, and is left out.
     let fetch = choice.fetch.and_then(|fetch| {
         let until = parts.upstream_clock_in(fetch.budget_ms, now)?;
@@ -288,7 +288,7 @@
 
 /// Remembers where a prompt's parts go, here and for peers.
 fn note_choice(
-    parts: &ServeParts,
+    parts: &ServeContext,
     prompt: &PromptShape,
     choice: &EngineChoice,
     priority: u8,
@@ -296,7 +296,7 @@
 ) {
     let keys: Vec<PartKey> =
         prompt.parts.iter().map(|part| PartKey::new(&choice.salt, &part.id)).collect();
-    let mut index = parts.parts.borrow_mut();
+    let mut index = parts.part_index.borrow_mut();
     let shared = keys.len().saturating_sub(1);
     index.note_sent(&choice.upstream, &keys[..shared], prompt.memory(), now);
     let parts_saved = keys.iter().zip(&prompt.parts).zip(&choice.save);
@@ -324,7 +324,7 @@
     }
     if sent.waiting >= NOTED_PROMPT || !sent.transfers.is_empty() {
         parts.just_sent.borrow_mut().push(sent);
-        parts.note_due.notify_one();
+        parts.message_due.notify_one();
         return;
     }
     let mut remembered = parts.sent_prompts.borrow_mut();
