--- a/crates/guava-serve/src/request/request_run.rs
+++ b/crates/guava-serve/src/request/request_run.rs
@@ -9,8 +9,8 @@
     PlanInput, PlanStep, can_place, is_crowded, log_send, plan_attempt,
 };
 use crate::serve_config::ServeConfig;
-use crate::serve_parts::ServeParts;
-use crate::upstreams::upstream_ends::stopped_until;
+use crate::serve_context::ServeContext;
+use crate::upstreams::upstream_crashes::quarantined_until;
 use guava_log::log_event;
 use guava_types::{Deadline, Moment, ServiceName};
 use std::rc::Rc;
@@ -26,7 +26,7 @@
 /// A request that was accepted, on its way.
 pub struct RequestRun {
     /// The parts it uses.
-    pub parts: Rc<ServeParts>,
+    pub parts: Rc<ServeContext>,
     /// The configuration that it was accepted under.
     pub config: Rc<ServeConfig>,
     /// The request.
@@ -68,8 +68,9 @@
                 return given_up(fallback, false);
             }
             // Looked up before each send: what other daemons saw meanwhile counts.
-            self.record.stopped_until = stopped_until(&self.parts, || self.request.digest());
-            if self.record.stopped_until.is_some() {
+            self.record.quarantined_until =
+                quarantined_until(&self.parts, || self.request.digest());
+            if self.record.quarantined_until.is_some() {
                 return given_up(fallback, false);
             }
             let plan = match self.plan(resume_after) {
@@ -94,7 +95,10 @@
                     if !self.is_worth_retry(&answer) {
                         return SendResult::Whole(answer);
                     }
-                    self.parts.work.borrow_mut().stumbled(&plan.send.upstream, Moment::now());
+                    self.parts
+                        .work
+                        .borrow_mut()
+                        .note_failed_answer(&plan.send.upstream, Moment::now());
                     fallback = Some(answer);
                 }
                 AttemptEnd::Stream(stream) => {
@@ -146,12 +150,12 @@
         let until = Deadline::after(request.arrived, request.route.objective_ms);
         let until = until.earlier(request.deadline);
         let now = Moment::now();
-        let wait = self.parts.line.borrow().expected_wait_ms(request.priority(), now);
+        let wait = self.parts.memory_queue.borrow().expected_wait_ms(request.priority(), now);
         if wait.is_some_and(|wait_ms| Deadline::after(now, wait_ms) > until) {
             // It would be refused after that time anyway; told at once, its caller can go elsewhere.
             return false;
         }
-        let place = LinePlace::join(&self.parts, request);
+        let place = QueuedPrompt::join(&self.parts, request);
         log_event!(info, events::HELD, request = request.id, ahead = place.ahead());
         loop {
             sleep(Duration::from_millis(HOLD_TICK_MS)).await;
@@ -159,7 +163,7 @@
                 return false;
             }
             if place.is_first() && !is_crowded(self.plan_input()) {
-                self.parts.line.borrow_mut().note_start(Moment::now());
+                self.parts.memory_queue.borrow_mut().note_start(Moment::now());
                 return true;
             }
         }
@@ -187,7 +191,7 @@
     /// Whether a stream that has begun can go on at another upstream, whose try is then paid for.
     pub fn can_move(&mut self) -> bool {
         let is_over = self.request.deadline.passed(Moment::now());
-        let is_stopped = stopped_until(&self.parts, || self.request.digest()).is_some();
+        let is_stopped = quarantined_until(&self.parts, || self.request.digest()).is_some();
         let may_move = !is_over && !is_stopped && self.may_try();
         let can_move = may_move && can_place(self.plan_input()) && self.pay();
         self.is_paid |= can_move;
@@ -216,28 +220,28 @@
 }
 
 /// A place in the line for memory at engines; given up when this is dropped.
-struct LinePlace {
-    parts: Rc<ServeParts>,
+struct QueuedPrompt {
+    parts: Rc<ServeContext>,
     ticket: u64,
 }
 
-impl LinePlace {
-    fn join(parts: &Rc<ServeParts>, request: &AcceptedRequest) -> Self {
-        let ticket = parts.line.borrow_mut().join(request.priority(), request.arrived);
+impl QueuedPrompt {
+    fn join(parts: &Rc<ServeContext>, request: &AcceptedRequest) -> Self {
+        let ticket = parts.memory_queue.borrow_mut().join(request.priority(), request.arrived);
         Self { parts: Rc::clone(parts), ticket }
     }
 
     fn is_first(&self) -> bool {
-        self.parts.line.borrow().is_first(self.ticket)
+        self.parts.memory_queue.borrow().is_first(self.ticket)
     }
 
     fn ahead(&self) -> usize {
-        self.parts.line.borrow().ahead_of(self.ticket)
+        self.parts.memory_queue.borrow().ahead_of(self.ticket)
     }
 }
 
-impl Drop for LinePlace {
+impl Drop for QueuedPrompt {
     fn drop(&mut self) {
-        self.parts.line.borrow_mut().leave(self.ticket);
+        self.parts.memory_queue.borrow_mut().leave(self.ticket);
     }
 }
--- a/crates/guava-serve/src/request/send_gate.rs
+++ b/crates/guava-serve/src/request/send_gate.rs
@@ -7,13 +7,13 @@
 use crate::members::member_table::MemberTable;
 use crate::metrics::LimitLevel;
 use crate::serve_config::ServiceRule;
-use crate::serve_parts::ServeParts;
+use crate::serve_context::ServeContext;
+use crate::upstreams::announcement_watch::note_send;
 use crate::upstreams::drain_table::DrainTable;
 use crate::upstreams::upstream_table::UpstreamEntry;
-use crate::upstreams::word_watch::note_send;
 use guava_policy::{
-    CloseReason, ClosedUpstream, ColdRule, LimitNotice, SendLedger, SendShare, WordTable,
-    cold_share, full_share, limit_share, word_gate,
+    AnnouncementTable, CloseReason, ClosedUpstream, ColdRule, LimitNotice, SendLedger, SendShare,
+    announcement_gate, cold_share, full_share, limit_share,
 };
 use guava_types::{Deadline, LimitRate, MemberName, Moment, UpstreamId};
 
@@ -27,7 +27,7 @@
     /// What its service's upstreams bear while they are cold; nothing if they are never.
     pub cold: Option<ColdRule>,
     /// What upstreams have said of themselves.
-    pub words: &'a WordTable,
+    pub announcements: &'a AnnouncementTable,
     /// This daemon's sends.
     pub sends: &'a SendLedger,
     /// The daemons.
@@ -60,13 +60,14 @@
         return GateState::Closed(ClosedUpstream { reason: CloseReason::Drained, until: None });
     }
     let share = |limit| limit_part(input.members, input.me, &entry.id, limit);
-    if let Some(closed) = word_gate(input.words, input.sends, &entry.id, share, now) {
+    if let Some(closed) = announcement_gate(input.announcements, input.sends, &entry.id, share, now)
+    {
         return GateState::Closed(closed);
     }
     let Some(rule) = input.cold.filter(|rule| is_cold(input, *rule, entry, now)) else {
         return GateState::Open;
     };
-    let place = input.members.send_place(input.me, entry.id.name());
+    let place = input.members.sender_rank(input.me, entry.id.name());
     // Who does not know the others can't tell its share.
     let share = place.map(|place| cold_share(rule.per_second, input.members.count(), place));
     let share = share.unwrap_or_default();
@@ -81,14 +82,14 @@
     upstream: &UpstreamId,
     limit: LimitRate,
 ) -> SendShare {
-    let place = members.send_place(me, upstream.name());
+    let place = members.sender_rank(me, upstream.name());
     place.map(|place| limit_share(limit, members.count(), place)).unwrap_or_default()
 }
 
 /// The upstreams that have a limit, with this daemon's share of it and its use.
-pub fn limit_levels(parts: &ServeParts, now: Moment) -> Vec<LimitLevel> {
-    let (words, sends, members) =
-        (parts.words.borrow(), parts.sends.borrow(), parts.members.borrow());
+pub fn limit_levels(parts: &ServeContext, now: Moment) -> Vec<LimitLevel> {
+    let (announcements, sends, members) =
+        (parts.announcements.borrow(), parts.sends.borrow(), parts.members.borrow());
     let level = |notice: LimitNotice| {
         let limit = notice.rate?;
         let share = limit_part(&members, &parts.identity.name, &notice.upstream, limit);
@@ -100,7 +101,7 @@
             upstream: notice.upstream,
         })
     };
-    words.limit_notices(now).filter_map(level).collect()
+    announcements.limit_notices(now).filter_map(level).collect()
 }
 
 fn is_cold(input: &GateInput<'_>, rule: ColdRule, entry: &UpstreamEntry, now: Moment) -> bool {
@@ -110,14 +111,14 @@
 }
 
 fn with_gate<T>(
-    parts: &ServeParts,
+    parts: &ServeContext,
     rule: &ServiceRule,
     ask: impl FnOnce(&GateInput<'_>) -> T,
 ) -> T {
     ask(&GateInput {
         drains: &parts.drains.borrow(),
         cold: rule.cold,
-        words: &parts.words.borrow(),
+        announcements: &parts.announcements.borrow(),
         sends: &parts.sends.borrow(),
         members: &parts.members.borrow(),
         me: &parts.identity.name,
@@ -125,7 +126,7 @@
 }
 
 /// The upstreams of a service that may get nothing now.
-pub fn closed_upstreams(parts: &ServeParts, rule: &ServiceRule, now: Moment) -> Vec<UpstreamId> {
+pub fn closed_upstreams(parts: &ServeContext, rule: &ServiceRule, now: Moment) -> Vec<UpstreamId> {
     let upstreams = parts.upstreams.borrow();
     let serving = upstreams.serving(&rule.name, now);
     with_gate(parts, rule, |input| {
@@ -135,7 +136,7 @@
 }
 
 /// When the first upstream of a service may get a request again, if none may now and that is known.
-pub fn reopening(parts: &ServeParts, rule: &ServiceRule, now: Moment) -> Option<Moment> {
+pub fn reopening(parts: &ServeContext, rule: &ServiceRule, now: Moment) -> Option<Moment> {
     let upstreams = parts.upstreams.borrow();
     let mut serving = upstreams.serving(&rule.name, now);
     with_gate(parts, rule, |input| {
@@ -150,7 +151,7 @@
 
 /// Whether a request may be sent to an upstream right now; notes it as sent.
 pub fn pass_gate(
-    parts: &ServeParts,
+    parts: &ServeContext,
     rule: &ServiceRule,
     upstream: &UpstreamId,
     now: Moment,
--- a/crates/guava-serve/src/serve_config.rs
+++ b/crates/guava-serve/src/serve_config.rs
@@ -252,11 +252,11 @@
 /// bring a revoked key or a removed route back; callers would notice answers that change back and
 /// forth. So a lower version never replaces a higher one while the process lives.
 #[derive(Debug, Default)]
-pub struct ConfigKeeper {
+pub struct CurrentConfig {
     current: Option<Rc<ServeConfig>>,
 }
 
-impl ConfigKeeper {
+impl CurrentConfig {
     /// Takes a configuration in; whether it is newer than the one in force.
     pub fn offer(&mut self, config: ServeConfig) -> bool {
         let is_newer = self.current.as_ref().is_none_or(|current| current.version < config.version);
--- a/crates/guava-serve/src/serve_parts.rs
+++ b/crates/guava-serve/src/serve_context.rs
@@ -12,18 +12,18 @@
 use crate::parts::store_links::StoreLinks;
 use crate::request::dialect::Dialect;
 use crate::request::retry_shares::{RetryLimit, RetryShares};
-use crate::serve_config::ConfigKeeper;
+use crate::serve_config::CurrentConfig;
+use crate::upstreams::broken_send_table::BrokenSendTable;
 use crate::upstreams::connection_pool::ConnectionPool;
-use crate::upstreams::crash_words::CrashWords;
+use crate::upstreams::crash_gossip::CrashGossip;
 use crate::upstreams::drain_table::DrainTable;
-use crate::upstreams::end_watch::EndWatch;
 use crate::upstreams::engine_speeds::EngineSpeeds;
 use crate::upstreams::prefill_rate::PrefillRate;
-use crate::upstreams::stop_record::StopSight;
+use crate::upstreams::quarantine_record::QuarantineSync;
 use crate::upstreams::upstream_table::{UpstreamEntry, UpstreamTable};
 use crate::upstreams::work_table::WorkTable;
 use crate::weights::version_targets::{VersionLimits, VersionTargets};
-use guava_policy::{CrashLedger, MemoryTrust, SendLedger, WaitingLine, WordTable};
+use guava_policy::{AnnouncementTable, CrashLedger, MemoryBudget, MemoryQueue, SendLedger};
 use guava_types::{
     DataCentre, Deadline, FastMap, Incarnation, MemberName, Moment, TokenCount, UpstreamId,
 };
@@ -87,7 +87,7 @@
 }
 
 /// The parts.
-pub struct ServeParts {
+pub struct ServeContext {
     /// Who this daemon is.
     pub identity: ServeIdentity,
     /// Limits that the deployment sets.
@@ -99,7 +99,7 @@
     /// Counters.
     pub metrics: ServeMetrics,
     /// The configuration in force.
-    pub config: RefCell<ConfigKeeper>,
+    pub config: RefCell<CurrentConfig>,
     /// The upstreams.
     pub upstreams: RefCell<UpstreamTable>,
     /// Data centres whose upstreams are to get nothing.
@@ -107,27 +107,27 @@
     /// Sends to upstreams.
     pub sends: RefCell<SendLedger>,
     /// What upstreams have said of themselves.
-    pub words: RefCell<WordTable>,
+    pub announcements: RefCell<AnnouncementTable>,
     /// Until when stores of cached parts want nothing from this daemon.
-    pub store_rests: RefCell<FastMap<SocketAddr, Deadline>>,
+    pub store_backoffs: RefCell<FastMap<SocketAddr, Deadline>>,
     /// Upstreams whose words other daemons are to be told at once.
-    pub words_due: RefCell<Vec<UpstreamId>>,
+    pub announcements_due: RefCell<Vec<UpstreamId>>,
     /// Sends that broke off, until it is known whether their upstreams ended.
-    pub ends: RefCell<EndWatch>,
+    pub broken_sends: RefCell<BrokenSendTable>,
     /// Upstreams' ends, and requests that are stopped for them.
     pub ledger: RefCell<CrashLedger>,
     /// Ends to tell peers.
-    pub crash_words: RefCell<CrashWords>,
+    pub crash_gossip: RefCell<CrashGossip>,
     /// Whether requests were stopped or cleared here that peers were not told of at once.
     pub verdicts_due: Cell<bool>,
     /// How much is known of the records of stopped requests.
-    pub stop_sight: Cell<StopSight>,
+    pub quarantine_sync: Cell<QuarantineSync>,
     /// Wakes whoever keeps these records.
-    pub stops_due: Notify,
+    pub quarantines_due: Notify,
     /// Their work.
     pub work: RefCell<WorkTable>,
     /// Where cached parts lie.
-    pub parts: RefCell<PartIndex>,
+    pub part_index: RefCell<PartIndex>,
     /// What the stores' links carry.
     pub links: RefCell<StoreLinks>,
     /// Published weights.
@@ -147,9 +147,9 @@
     /// Upstreams about to be ordered to load weights, since peers were last sent a note.
     pub just_loading: RefCell<Vec<UpstreamId>>,
     /// Daemons of this data centre that were just heard, and not greeted.
-    pub newcomers: RefCell<Vec<SocketAddr>>,
+    pub new_peers: RefCell<Vec<SocketAddr>>,
     /// Wakes whoever sends notes and greetings.
-    pub note_due: Notify,
+    pub message_due: Notify,
     /// The upstreams' clock.
     pub upstream_clock: Cell<Option<UpstreamClock>>,
     /// What daemons know of the platform's store through each other.
@@ -163,16 +163,16 @@
     /// When the configuration in force was last seen to be the newest.
     pub config_confirmed: Cell<Moment>,
     /// Whether the operator's records could not be read the last time.
-    pub is_operator_away: Cell<bool>,
+    pub is_operator_unavailable: Cell<bool>,
     /// How much of the engines' memory is planned with.
-    pub trust: RefCell<MemoryTrust>,
+    pub memory_budget: RefCell<MemoryBudget>,
     /// Long prompts that wait for memory at an engine.
-    pub line: RefCell<WaitingLine>,
+    pub memory_queue: RefCell<MemoryQueue>,
     /// Bytes of requests held at present.
     pub held_bytes: Cell<usize>,
 }
 
-impl ServeParts {
+impl ServeContext {
     /// Parts that know nothing yet.
     pub fn new(identity: ServeIdentity, bounds: ServeBounds, dialect: Dialect) -> Self {
         Self {
@@ -184,17 +184,17 @@
             upstreams: RefCell::default(),
             drains: RefCell::default(),
             sends: RefCell::new(SendLedger::new(Moment::now())),
-            words: RefCell::default(),
-            store_rests: RefCell::default(),
-            words_due: RefCell::default(),
-            ends: RefCell::default(),
+            announcements: RefCell::default(),
+            store_backoffs: RefCell::default(),
+            announcements_due: RefCell::default(),
+            broken_sends: RefCell::default(),
             ledger: RefCell::default(),
-            crash_words: RefCell::default(),
+            crash_gossip: RefCell::default(),
             verdicts_due: Cell::default(),
-            stop_sight: Cell::default(),
-            stops_due: Notify::new(),
+            quarantine_sync: Cell::default(),
+            quarantines_due: Notify::new(),
             work: RefCell::default(),
-            parts: RefCell::default(),
+            part_index: RefCell::default(),
             links: RefCell::default(),
             targets: RefCell::default(),
             retries: RefCell::new(RetryShares::new(bounds.retries, 1)),
@@ -204,17 +204,17 @@
             sent_prompts: RefCell::default(),
             just_sent: RefCell::default(),
             just_loading: RefCell::default(),
-            newcomers: RefCell::default(),
-            note_due: Notify::new(),
+            new_peers: RefCell::default(),
+            message_due: Notify::new(),
             upstream_clock: Cell::new(None),
             reads: RefCell::default(),
             reads_due: Notify::new(),
             list_changes: RefCell::default(),
             lost_messages: RefCell::default(),
             config_confirmed: Cell::default(),
-            is_operator_away: Cell::new(false),
-            trust: RefCell::default(),
-            line: RefCell::default(),
+            is_operator_unavailable: Cell::new(false),
+            memory_budget: RefCell::default(),
+            memory_queue: RefCell::default(),
             held_bytes: Cell::new(0),
             identity,
         }
@@ -236,7 +236,7 @@
     pub fn is_leaving(&self, upstream: &UpstreamId) -> bool {
         let is_listed_so = |entry: &UpstreamEntry| entry.is_leaving;
         let is_listed_so = self.upstreams.borrow().entry(upstream).is_some_and(is_listed_so);
-        is_listed_so || self.words.borrow().is_leaving(upstream)
+        is_listed_so || self.announcements.borrow().is_leaving(upstream)
     }
 
     /// The upstreams' clock so many milliseconds from now, if it is known.
--- a/crates/guava-serve/src/upstreams/end_watch.rs
+++ b/crates/guava-serve/src/upstreams/broken_send_table.rs
@@ -18,14 +18,14 @@
 
 /// Requests whose sends broke off, by upstream.
 #[derive(Debug, Default)]
-pub struct EndWatch {
+pub struct BrokenSendTable {
     broken: FastMap<UpstreamId, BrokenSends>,
 }
 
-impl EndWatch {
+impl BrokenSendTable {
     /// Notes a send that broke off after the upstream may have begun to run the request; whether it
     /// is the first there, and somebody must look whether the upstream has ended.
-    pub fn note_break(
+    pub fn note_interrupted(
         &mut self,
         upstream: &UpstreamId,
         request: RequestDigest,
--- a/crates/guava-serve/src/upstreams/crash_words.rs
+++ b/crates/guava-serve/src/upstreams/crash_gossip.rs
@@ -4,7 +4,7 @@
 //! lost must not hide what a request has ended until it has ended more. Stopped requests are told
 //! with every summary, so that daemons that start, or were cut off, know them within a second.
 
-use crate::upstreams::end_notice::EndNotice;
+use crate::upstreams::crash_notice::CrashNotice;
 use guava_policy::ClearNotice;
 use guava_types::{Deadline, Moment};
 
@@ -18,14 +18,14 @@
 
 /// Ends to tell.
 #[derive(Debug, Default)]
-pub struct CrashWords {
-    fresh: Vec<EndNotice>,
-    recent: Vec<(EndNotice, Deadline)>,
+pub struct CrashGossip {
+    fresh: Vec<CrashNotice>,
+    recent: Vec<(CrashNotice, Deadline)>,
 }
 
-impl CrashWords {
+impl CrashGossip {
     /// Notes an end to be told.
-    pub fn note_end(&mut self, notice: EndNotice, now: Moment) {
+    pub fn note_crash(&mut self, notice: CrashNotice, now: Moment) {
         if self.recent.len() >= MOST_ENDS {
             self.recent.remove(0);
         }
@@ -41,12 +41,12 @@
     }
 
     /// Takes what was not told yet, in pieces of a message each.
-    pub fn take_fresh(&mut self) -> Vec<Vec<EndNotice>> {
+    pub fn take_fresh(&mut self) -> Vec<Vec<CrashNotice>> {
         in_messages(std::mem::take(&mut self.fresh))
     }
 
     /// What a summary repeats: the newest ends.
-    pub fn repeated(&mut self, now: Moment) -> Vec<EndNotice> {
+    pub fn repeated(&mut self, now: Moment) -> Vec<CrashNotice> {
         self.recent.retain(|(_, until)| !until.passed(now));
         let newest = self.recent.iter().rev().map(|(notice, _)| notice.clone()).collect();
         in_messages(newest).into_iter().next().unwrap_or_default()
@@ -54,12 +54,12 @@
 }
 
 /// Ends in as many messages as they need.
-fn in_messages(notices: Vec<EndNotice>) -> Vec<Vec<EndNotice>> {
-    let mut messages: Vec<Vec<EndNotice>> = Vec::new();
+fn in_messages(notices: Vec<CrashNotice>) -> Vec<Vec<CrashNotice>> {
+    let mut messages: Vec<Vec<CrashNotice>> = Vec::new();
     let mut room = 0;
     for notice in notices {
         for requests in notice.requests.chunks(MOST_REQUESTS) {
-            let piece = EndNotice {
+            let piece = CrashNotice {
                 upstream: notice.upstream.clone(),
                 at: notice.at,
                 requests: requests.to_vec(),
--- a/crates/guava-serve/src/upstreams/end_notice.rs
+++ b/crates/guava-serve/src/upstreams/crash_notice.rs
@@ -4,7 +4,7 @@
 
 /// An upstream's end, as daemons tell each other.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct EndNotice {
+pub struct CrashNotice {
     /// Which start of which upstream.
     pub upstream: UpstreamId,
     /// When it ended; as an age between daemons.
--- a/crates/guava-serve/src/upstreams/drain_table.rs
+++ b/crates/guava-serve/src/upstreams/drain_table.rs
@@ -41,11 +41,11 @@
         if known.is_some_and(|known| known.as_of >= notice.as_of) {
             return false;
         }
-        let is_news = known.is_some_and(|known| known.is_drained) != notice.is_drained;
-        let changed = known.filter(|_| !is_news).map_or(now, |known| known.changed);
+        let is_change = known.is_some_and(|known| known.is_drained) != notice.is_drained;
+        let changed = known.filter(|_| !is_change).map_or(now, |known| known.changed);
         let state = CentreState { as_of: notice.as_of, is_drained: notice.is_drained, changed };
         self.centres.insert(notice.data_centre.clone(), state);
-        is_news
+        is_change
     }
 
     /// What follows from a read of all that is drained as of a position: what is known to be drained
--- a/crates/guava-serve/src/upstreams/http_call.rs
+++ b/crates/guava-serve/src/upstreams/http_call.rs
@@ -25,7 +25,7 @@
     Late,
     /// The other side asked for rest, so the call is not made.
     #[snafu(display("it asked for rest"))]
-    Resting,
+    BackingOff,
     /// The answer broke off.
     #[snafu(display("the answer broke off"))]
     Broken,
--- a/crates/guava-serve/src/upstreams/list_order.rs
+++ b/crates/guava-serve/src/upstreams/list_order.rs
@@ -37,7 +37,7 @@
     }
 
     /// Whether a record that a peer tells may change the list.
-    pub fn admit_told(&mut self, name: &str, revision: ListRevision) -> bool {
+    pub fn admit_from_peer(&mut self, name: &str, revision: ListRevision) -> bool {
         if revision < self.position || !self.admit_read(name, revision) {
             return false;
         }
--- a/crates/guava-serve/src/upstreams/stop_record.rs
+++ b/crates/guava-serve/src/upstreams/quarantine_record.rs
@@ -4,7 +4,7 @@
 
 /// A stopped request's record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StopRecord {
+pub struct QuarantineRecord {
     /// Which.
     pub request: RequestDigest,
     /// How often it has been stopped.
@@ -13,7 +13,7 @@
 
 /// When the records were last read, or told by a peer that knows them.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct StopSight {
+pub struct QuarantineSync {
     /// Whether this daemon knows the records.
     pub is_known: bool,
     /// When a peer that knows them last spoke.
--- a/crates/guava-serve/src/upstreams/stop_duty.rs
+++ b/crates/guava-serve/src/upstreams/quarantine_task.rs
@@ -8,9 +8,9 @@
 use crate::events;
 use crate::members::retry_pause::{RetryPause, is_read_urgent};
 use crate::members::shared_reads::STANDBYS;
-use crate::ports::{PortError, StopPort};
-use crate::serve_parts::ServeParts;
-use crate::upstreams::stop_record::{StopRecord, StopSight};
+use crate::ports::{PortError, QuarantinePort};
+use crate::serve_context::ServeContext;
+use crate::upstreams::quarantine_record::{QuarantineRecord, QuarantineSync};
 use guava_log::log_event;
 use guava_types::{Deadline, FastMap, Moment, RequestDigest};
 use std::rc::Rc;
@@ -29,7 +29,7 @@
 /// Whether the records are to be read: by those that read for all at their start, by the others if
 /// nobody tells them; and again where nobody speaks any more.
 pub fn is_read_due(
-    sight: StopSight,
+    sight: QuarantineSync,
     started: Moment,
     turn: usize,
     peers: usize,
@@ -42,9 +42,9 @@
 }
 
 /// Reads and writes the records of stopped requests, for ever.
-pub async fn keep_stops(parts: Rc<ServeParts>, port: StopPort) {
+pub async fn persist_quarantines(parts: Rc<ServeContext>, port: QuarantinePort) {
     let started = Moment::now();
-    let mut duty = StopDuty { parts, port, started, written: FastMap::default(), read: None };
+    let mut duty = QuarantineTask { parts, port, started, written: FastMap::default(), read: None };
     let mut retry = RetryPause::default();
     loop {
         match duty.step().await {
@@ -52,7 +52,7 @@
                 retry.reset();
                 let pause = Duration::from_millis(LOOK_MS);
                 // Whether it is time or there is news makes no difference.
-                drop(timeout(pause, duty.parts.stops_due.notified()).await);
+                drop(timeout(pause, duty.parts.quarantines_due.notified()).await);
             }
             Err(reason) => {
                 log_event!(debug, events::STOPS_UNREAD, reason = reason);
@@ -63,9 +63,9 @@
     }
 }
 
-struct StopDuty {
-    parts: Rc<ServeParts>,
-    port: StopPort,
+struct QuarantineTask {
+    parts: Rc<ServeContext>,
+    port: QuarantinePort,
     started: Moment,
     /// Records that stand in the store, as far as this daemon wrote or read them.
     written: FastMap<RequestDigest, u32>,
@@ -73,14 +73,14 @@
     read: Option<Deadline>,
 }
 
-impl StopDuty {
+impl QuarantineTask {
     async fn step(&mut self) -> Result<(), PortError> {
         let now = Moment::now();
         let (turn, peers) = {
             let members = self.parts.members.borrow();
-            (members.read_turn(&self.parts.identity.name, now), members.count() - 1)
+            (members.reader_rank(&self.parts.identity.name, now), members.count() - 1)
         };
-        let sight = self.parts.stop_sight.get();
+        let sight = self.parts.quarantine_sync.get();
         for request in self.parts.ledger.borrow_mut().sweep(now) {
             log_event!(info, events::REQUEST_CLEARED, digest = request, reason = "over");
         }
@@ -98,13 +98,13 @@
         let records = (self.port.read)().await?;
         let now = Moment::now();
         self.read = Some(Deadline::after(now, ALONE_MS));
-        let sight = self.parts.stop_sight.get();
-        self.parts.stop_sight.set(StopSight { is_known: true, ..sight });
+        let sight = self.parts.quarantine_sync.get();
+        self.parts.quarantine_sync.set(QuarantineSync { is_known: true, ..sight });
         for record in records {
             self.written.insert(record.request, record.times);
-            let StopRecord { request, times } = record;
+            let QuarantineRecord { request, times } = record;
             if self.parts.ledger.borrow_mut().note_record(request, times, now) {
-                log_event!(warn, events::REQUEST_STOPPED, digest = request, source = "store");
+                log_event!(warn, events::REQUEST_QUARANTINED, digest = request, source = "store");
             }
         }
         Ok(())
@@ -113,10 +113,10 @@
     /// Writes what is stopped and has no record, and drops the records of what is not any more. The
     /// first reader drops: a standby that was cut off may not know why a request is stopped.
     async fn write_records(&mut self, turn: usize) -> Result<(), PortError> {
-        let known: Vec<StopRecord> = {
+        let known: Vec<QuarantineRecord> = {
             let ledger = self.parts.ledger.borrow();
             let remembered = ledger.remembered();
-            remembered.map(|(request, times)| StopRecord { request, times }).collect()
+            remembered.map(|(request, times)| QuarantineRecord { request, times }).collect()
         };
         for record in &known {
             if self.written.get(&record.request).is_none_or(|times| *times < record.times) {
--- a/crates/guava-serve/src/upstreams/upstream_call.rs
+++ b/crates/guava-serve/src/upstreams/upstream_call.rs
@@ -4,9 +4,9 @@
 //! itself in their answers is taken in. They are few, and weights wait for them, so no limit holds them
 //! back; a rest that was asked for does. It also does at stores of cached parts.
 
-use crate::serve_parts::ServeParts;
-use crate::upstreams::http_call::{CallAnswer, CallError, RestingSnafu};
-use crate::upstreams::word_watch::{note_send, note_words};
+use crate::serve_context::ServeContext;
+use crate::upstreams::announcement_watch::{note_announcements, note_send};
+use crate::upstreams::http_call::{BackingOffSnafu, CallAnswer, CallError};
 use bytes::Bytes;
 use guava_types::{Deadline, Moment, UpstreamId};
 use http::Request;
@@ -16,7 +16,7 @@
 
 /// Makes a call to an upstream; its connection is kept for so many milliseconds.
 pub async fn call_upstream(
-    parts: &ServeParts,
+    parts: &ServeContext,
     upstream: &UpstreamId,
     address: SocketAddr,
     request: Request<Full<Bytes>>,
@@ -24,30 +24,30 @@
     idle_ms: u64,
 ) -> Result<CallAnswer, CallError> {
     let sent = Moment::now();
-    ensure!(parts.words.borrow().rest_until(upstream, sent).is_none(), RestingSnafu);
+    ensure!(parts.announcements.borrow().backoff_until(upstream, sent).is_none(), BackingOffSnafu);
     note_send(parts, upstream, sent);
     let answer = parts.pool.call(address, request, deadline, idle_ms).await?;
     let marks = (parts.dialect.marks)(answer.status, &answer.headers);
     if !marks.is_unexpected {
-        note_words(parts, upstream, &marks.words, sent);
+        note_announcements(parts, upstream, &marks.announcements, sent);
     }
     Ok(answer)
 }
 
 /// Makes a call to a store of cached parts; its connection is kept for so many milliseconds.
 pub async fn call_store(
-    parts: &ServeParts,
+    parts: &ServeContext,
     store: SocketAddr,
     request: Request<Full<Bytes>>,
     deadline: Deadline,
     idle_ms: u64,
 ) -> Result<CallAnswer, CallError> {
-    let rest_until = parts.store_rests.borrow().get(&store).copied();
-    ensure!(rest_until.is_none_or(|until| until.passed(Moment::now())), RestingSnafu);
+    let backoff_until = parts.store_backoffs.borrow().get(&store).copied();
+    ensure!(backoff_until.is_none_or(|until| until.passed(Moment::now())), BackingOffSnafu);
     let answer = parts.pool.call(store, request, deadline, idle_ms).await?;
-    let words = (parts.dialect.marks)(answer.status, &answer.headers).words;
-    let mut rests = parts.store_rests.borrow_mut();
-    match words.rest_until {
+    let announcements = (parts.dialect.marks)(answer.status, &answer.headers).announcements;
+    let mut rests = parts.store_backoffs.borrow_mut();
+    match announcements.backoff_until {
         Some(until) => drop(rests.insert(store, until)),
         None => drop(rests.remove(&store)),
     }
--- a/crates/guava-serve/src/upstreams/upstream_ends.rs
+++ b/crates/guava-serve/src/upstreams/upstream_crashes.rs
@@ -1,10 +1,10 @@
 //! Upstreams that end under requests: found out, no more used, and held against the requests.
 
 use crate::events;
-use crate::serve_parts::ServeParts;
-use crate::upstreams::end_notice::EndNotice;
+use crate::serve_context::ServeContext;
+use crate::upstreams::crash_notice::CrashNotice;
 use guava_log::log_event;
-use guava_policy::{ClearNotice, LedgerNews, StopNotice};
+use guava_policy::{ClearNotice, LedgerChange, QuarantineNotice};
 use guava_types::{Deadline, Moment, RequestDigest, UpstreamId};
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,16 +21,16 @@
 const LOGGED_DIGESTS: usize = 12;
 
 /// Takes in that a send broke off after its upstream may have begun to run the request.
-pub fn note_break(parts: &Rc<ServeParts>, upstream: &UpstreamId, request: RequestDigest) {
+pub fn note_interrupted(parts: &Rc<ServeContext>, upstream: &UpstreamId, request: RequestDigest) {
     let now = Moment::now();
-    if parts.upstreams.borrow().has_ended(upstream, now) {
-        note_upstream_end(parts, upstream, vec![request], now);
-    } else if parts.ends.borrow_mut().note_break(upstream, request, now) {
+    if parts.upstreams.borrow().has_crashed(upstream, now) {
+        note_upstream_crash(parts, upstream, vec![request], now);
+    } else if parts.broken_sends.borrow_mut().note_interrupted(upstream, request, now) {
         drop(tokio::task::spawn_local(look(Rc::clone(parts), upstream.clone())));
     }
 }
 
-async fn look(parts: Rc<ServeParts>, upstream: UpstreamId) {
+async fn look(parts: Rc<ServeContext>, upstream: UpstreamId) {
     sleep(Duration::from_millis(LOOK_MS)).await;
     let address = parts.upstreams.borrow().entry(&upstream).map(|entry| entry.address);
     let is_listening = match address {
@@ -41,18 +41,18 @@
         note_refused(&parts, &upstream);
     } else {
         // It lives, or that can't be told: what broke off there is nobody's fault.
-        parts.ends.borrow_mut().take(&upstream);
+        parts.broken_sends.borrow_mut().take(&upstream);
     }
 }
 
 /// Takes in that nobody listens at an upstream's address.
-pub fn note_refused(parts: &ServeParts, upstream: &UpstreamId) {
+pub fn note_refused(parts: &ServeContext, upstream: &UpstreamId) {
     let now = Moment::now();
-    let sends = parts.ends.borrow_mut().take(upstream);
-    let is_known = parts.upstreams.borrow().has_ended(upstream, now);
+    let sends = parts.broken_sends.borrow_mut().take(upstream);
+    let is_known = parts.upstreams.borrow().has_crashed(upstream, now);
     match sends {
-        Some(sends) => note_upstream_end(parts, upstream, sends.requests, sends.since),
-        None if !is_known => note_upstream_end(parts, upstream, Vec::new(), now),
+        Some(sends) => note_upstream_crash(parts, upstream, sends.requests, sends.since),
+        None if !is_known => note_upstream_crash(parts, upstream, Vec::new(), now),
         None => {}
     }
 }
@@ -62,8 +62,8 @@
 ///
 /// That it ended is not told: what this daemon can't reach others may. Believed by all, one daemon
 /// behind a cut that refuses connections would take every upstream from everybody.
-pub fn note_upstream_end(
-    parts: &ServeParts,
+pub fn note_upstream_crash(
+    parts: &ServeContext,
     upstream: &UpstreamId,
     mut requests: Vec<RequestDigest>,
     at: Moment,
@@ -78,42 +78,42 @@
         requests.iter().take(LOGGED_DIGESTS).map(RequestDigest::to_string).collect();
     log_event!(
         info,
-        events::UPSTREAM_ENDED,
+        events::UPSTREAM_CRASHED,
         upstream = upstream,
         under = requests.len(),
         digests = list.join(" ")
     );
-    let notice = EndNotice { upstream: upstream.clone(), at, requests };
+    let notice = CrashNotice { upstream: upstream.clone(), at, requests };
     // Without any request it still shows that others at the same moment had a cause of their own.
-    let is_news = take_end(parts, &notice, now);
-    if is_news && !notice.requests.is_empty() {
-        parts.crash_words.borrow_mut().note_end(notice, now);
-        parts.note_due.notify_one();
+    let is_change = take_crash(parts, &notice, now);
+    if is_change && !notice.requests.is_empty() {
+        parts.crash_gossip.borrow_mut().note_crash(notice, now);
+        parts.message_due.notify_one();
     }
 }
 
 /// Sends an upstream no more work.
-fn take_off(parts: &ServeParts, upstream: &UpstreamId, now: Moment) {
+fn take_off(parts: &ServeContext, upstream: &UpstreamId, now: Moment) {
     let mut upstreams = parts.upstreams.borrow_mut();
     let Some(address) = upstreams.entry(upstream).map(|entry| entry.address) else { return };
-    upstreams.note_ended(upstream, Deadline::after(now, ENDED_MS));
+    upstreams.note_crashed(upstream, Deadline::after(now, ENDED_MS));
     parts.pool.forget(address);
 }
 
 /// Takes in under which requests an upstream ended, as seen here or told by a peer; whether it is
 /// news. Also of an upstream that is not, or no more, listed here.
-pub fn take_end(parts: &ServeParts, notice: &EndNotice, now: Moment) -> bool {
+pub fn take_crash(parts: &ServeContext, notice: &CrashNotice, now: Moment) -> bool {
     let mut ledger = parts.ledger.borrow_mut();
-    let news = ledger.note_end(&notice.upstream, &notice.requests, notice.at, now);
+    let news = ledger.note_crash(&notice.upstream, &notice.requests, notice.at, now);
     drop(ledger);
     log_verdicts(parts, &news);
-    news.is_news
+    news.is_change
 }
 
-fn log_verdicts(parts: &ServeParts, news: &LedgerNews) {
+fn log_verdicts(parts: &ServeContext, news: &LedgerChange) {
     for request in &news.stopped {
         parts.metrics.count_request("stopped");
-        log_event!(warn, events::REQUEST_STOPPED, digest = request, source = "evidence");
+        log_event!(warn, events::REQUEST_QUARANTINED, digest = request, source = "evidence");
     }
     for request in &news.lifted {
         log_event!(info, events::REQUEST_CLEARED, digest = request, reason = "explained");
@@ -124,22 +124,22 @@
 }
 
 /// Has peers and the store told of verdicts that were just found here.
-fn note_verdicts(parts: &ServeParts) {
+fn note_verdicts(parts: &ServeContext) {
     parts.verdicts_due.set(true);
-    parts.note_due.notify_one();
-    parts.stops_due.notify_one();
+    parts.message_due.notify_one();
+    parts.quarantines_due.notify_one();
 }
 
 /// Takes in that a peer has stopped a request.
-pub fn take_stop(parts: &ServeParts, stop: StopNotice, now: Moment) {
-    if parts.ledger.borrow_mut().note_told(stop, now) {
-        log_event!(warn, events::REQUEST_STOPPED, digest = stop.request, source = "peer");
-        parts.stops_due.notify_one();
+pub fn take_quarantine(parts: &ServeContext, stop: QuarantineNotice, now: Moment) {
+    if parts.ledger.borrow_mut().note_from_peer(stop, now) {
+        log_event!(warn, events::REQUEST_QUARANTINED, digest = stop.request, source = "peer");
+        parts.quarantines_due.notify_one();
     }
 }
 
 /// Takes in that a request was answered whole by an upstream.
-pub fn note_answer(parts: &ServeParts, digest: impl FnOnce() -> RequestDigest) {
+pub fn note_answer(parts: &ServeContext, digest: impl FnOnce() -> RequestDigest) {
     // Nearly always nothing is known of any request, and none need be looked up.
     if parts.ledger.borrow().is_empty() {
         return;
@@ -148,26 +148,26 @@
 }
 
 /// The same of a request whose digest is known.
-pub fn note_request_answered(parts: &ServeParts, request: RequestDigest) {
+pub fn note_request_answered(parts: &ServeContext, request: RequestDigest) {
     let now = Moment::now();
     if parts.ledger.borrow_mut().note_answer(request, now) {
-        parts.crash_words.borrow_mut().forget(ClearNotice { request, at: now });
+        parts.crash_gossip.borrow_mut().forget(ClearNotice { request, at: now });
         log_event!(info, events::REQUEST_CLEARED, digest = request, reason = "answered");
         note_verdicts(parts);
     }
 }
 
 /// Takes in that a peer has nothing against a request up to some moment.
-pub fn take_cleared(parts: &ServeParts, notice: ClearNotice, now: Moment) {
+pub fn take_cleared(parts: &ServeContext, notice: ClearNotice, now: Moment) {
     parts.ledger.borrow_mut().note_cleared(notice, now);
-    parts.crash_words.borrow_mut().forget(notice);
+    parts.crash_gossip.borrow_mut().forget(notice);
 }
 
 /// Until when a request is stopped, if it is.
-pub fn stopped_until(
-    parts: &ServeParts,
+pub fn quarantined_until(
+    parts: &ServeContext,
     digest: impl FnOnce() -> RequestDigest,
 ) -> Option<Deadline> {
     let ledger = parts.ledger.borrow();
-    if ledger.is_empty() { None } else { ledger.stopped_until(digest(), Moment::now()) }
+    if ledger.is_empty() { None } else { ledger.quarantined_until(digest(), Moment::now()) }
 }
--- a/crates/guava-serve/src/upstreams/upstream_table.rs
+++ b/crates/guava-serve/src/upstreams/upstream_table.rs
@@ -129,7 +129,7 @@
     /// Services that the configuration names, once there is one.
     services: Option<FastSet<ServiceName>>,
     is_known: bool,
-    is_away: bool,
+    is_unavailable: bool,
     returned: Moment,
     order: ListOrder,
 }
@@ -146,19 +146,19 @@
     }
 
     /// Notes that the list can't be read; what is known stays in use. Whether that is news.
-    pub fn note_away(&mut self) -> bool {
-        !std::mem::replace(&mut self.is_away, true)
+    pub fn note_unavailable(&mut self) -> bool {
+        !std::mem::replace(&mut self.is_unavailable, true)
     }
 
     /// Whether the list could not be read the last time.
-    pub fn is_away(&self) -> bool {
-        self.is_away
+    pub fn is_unavailable(&self) -> bool {
+        self.is_unavailable
     }
 
     /// Notes that the list was read, before what it says is taken in. Whether it was away.
     pub fn note_read(&mut self, now: Moment) -> bool {
         self.is_known = true;
-        let was_away = std::mem::replace(&mut self.is_away, false);
+        let was_away = std::mem::replace(&mut self.is_unavailable, false);
         if was_away {
             self.returned = now;
         }
@@ -225,10 +225,10 @@
                 // An entry that comes late must not end it sooner.
                 listed.entry.cold_until = listed.entry.cold_until.max(cold_until);
                 listed.entry.versions = versions;
-                let is_news = listed.entry.is_leaving && !was_leaving;
+                let is_change = listed.entry.is_leaving && !was_leaving;
                 // Leaving is final: an older copy of the entry must not bring new work back.
                 listed.entry.is_leaving |= was_leaving;
-                match (is_news, has_news, is_colder) {
+                match (is_change, has_news, is_colder) {
                     (true, ..) => ListChange::Leaving,
                     (false, true, _) => ListChange::Weights,
                     (false, false, true) => ListChange::Cold,
@@ -281,12 +281,12 @@
         for entry in entries {
             let id = entry.id.clone();
             // The list is read in parts: an entry may be newer than its beginning.
-            let is_news = if entry.revision < end {
+            let is_change = if entry.revision < end {
                 self.order.admit_read(id.name(), entry.revision)
             } else {
-                self.order.admit_told(id.name(), entry.revision)
+                self.order.admit_from_peer(id.name(), entry.revision)
             };
-            if is_news {
+            if is_change {
                 changes.push((id, self.note_entry(entry)));
             }
         }
@@ -379,14 +379,14 @@
     /// Notes that nobody listens at an upstream's address: it gets no work from this daemon until a
     /// deadline. Its entry lapses only seconds after it ended, and until then each request that went
     /// there took one of its few tries.
-    pub fn note_ended(&mut self, id: &UpstreamId, until: Deadline) {
+    pub fn note_crashed(&mut self, id: &UpstreamId, until: Deadline) {
         if let Some(listed) = self.listed.get_mut(id) {
             listed.ended_until = until;
         }
     }
 
     /// Whether an upstream has ended, as far as is known.
-    pub fn has_ended(&self, id: &UpstreamId, now: Moment) -> bool {
+    pub fn has_crashed(&self, id: &UpstreamId, now: Moment) -> bool {
         self.listed.get(id).is_some_and(|listed| !listed.ended_until.passed(now))
     }
 
--- a/crates/guava-serve/src/upstreams/work_table.rs
+++ b/crates/guava-serve/src/upstreams/work_table.rs
@@ -135,8 +135,8 @@
     }
 
     /// Notes that an upstream gave no answer, a broken one, or an error.
-    pub fn stumbled(&mut self, upstream: &UpstreamId, now: Moment) {
-        self.loads.stumbled(upstream, now);
+    pub fn note_failed_answer(&mut self, upstream: &UpstreamId, now: Moment) {
+        self.loads.note_failed_answer(upstream, now);
     }
 
     /// The load of an upstream.
--- a/crates/guava-serve/src/weights/order_duty.rs
+++ b/crates/guava-serve/src/weights/order_task.rs
@@ -2,7 +2,7 @@
 
 use crate::events;
 use crate::ports::{EnginePort, EngineReport, LeasePort, LoadOrder, PortError};
-use crate::serve_parts::ServeParts;
+use crate::serve_context::ServeContext;
 use crate::upstreams::upstream_table::WeightVersion;
 use crate::weights::rollout_state::VersionRollout;
 use crate::weights::version_rollout::{RolloutEngine, next_orders};
@@ -45,8 +45,8 @@
 const ANNOUNCED_MS: u64 = 1_000;
 
 /// This daemon's part in orders.
-pub struct OrderDuty {
-    parts: Rc<ServeParts>,
+pub struct OrderTask {
+    parts: Rc<ServeContext>,
     lease_port: LeasePort,
     engine_port: EnginePort,
     me: Incarnation,
@@ -60,10 +60,10 @@
     rollout: Rc<RefCell<VersionRollout>>,
 }
 
-impl OrderDuty {
+impl OrderTask {
     /// A duty that has done nothing yet.
     pub fn new(
-        parts: Rc<ServeParts>,
+        parts: Rc<ServeContext>,
         ports: (LeasePort, EnginePort),
         apart_ms: u64,
         rollout: Rc<RefCell<VersionRollout>>,
@@ -132,7 +132,7 @@
             return Ok(());
         }
         let is_holder = self.fence().is_some();
-        let turn = self.parts.members.borrow().turn(&self.parts.identity.name, LEASE_SUBJECT, now);
+        let turn = self.parts.members.borrow().rank(&self.parts.identity.name, LEASE_SUBJECT, now);
         if !is_holder && turn >= STANDBYS {
             sleep(Duration::from_millis(WATCH_MS)).await;
             return Ok(());
@@ -201,7 +201,7 @@
             self.parts.upstreams.borrow_mut().note_loading(id, until);
         }
         self.parts.just_loading.borrow_mut().extend_from_slice(engines);
-        self.parts.note_due.notify_one();
+        self.parts.message_due.notify_one();
         sleep(Duration::from_millis(ANNOUNCE_PAUSE_MS)).await;
     }
 
--- a/crates/guava-serve/src/weights/rollout_state.rs
+++ b/crates/guava-serve/src/weights/rollout_state.rs
@@ -2,7 +2,7 @@
 
 use crate::members::peer_message::LoadedVersion;
 use crate::parts::cache_salt::salt_version;
-use crate::serve_parts::ServeParts;
+use crate::serve_context::ServeContext;
 use crate::upstreams::upstream_table::{UpstreamEntry, UpstreamTable, WeightVersion};
 use crate::weights::version_rollout::{ORDER_EXPIRY_MS, RolloutEngine};
 use crate::weights::version_targets::VersionTargets;
@@ -51,19 +51,20 @@
 
 impl VersionRollout {
     /// Takes in what is known by now; whether any engine lags behind.
-    pub fn refresh(&mut self, parts: &ServeParts, now: Moment) -> bool {
+    pub fn refresh(&mut self, parts: &ServeContext, now: Moment) -> bool {
         let targets = parts.targets.borrow();
         let upstreams = parts.upstreams.borrow();
         let work = parts.work.borrow();
-        let words = parts.words.borrow();
+        let announcements = parts.announcements.borrow();
         for (model, target) in targets.iter() {
             let rollout = self.models.entry(model.clone()).or_default();
             if rollout.version != target.version {
                 // Orders for an older version say nothing about this one.
                 *rollout = ModelRollout { version: target.version, ..ModelRollout::default() };
             }
-            rollout.engines.retain(|id, _| upstreams.may_send(id) && !words.is_leaving(id));
-            let stays = |entry: &&UpstreamEntry| !entry.is_leaving && !words.is_leaving(&entry.id);
+            rollout.engines.retain(|id, _| upstreams.may_send(id) && !announcements.is_leaving(id));
+            let stays =
+                |entry: &&UpstreamEntry| !entry.is_leaving && !announcements.is_leaving(&entry.id);
             for entry in upstreams.entries().filter(stays) {
                 let Some(version) = entry.versions.get(model) else { continue };
                 let slot = rollout.engines.entry(entry.id.clone()).or_default();
@@ -71,7 +72,7 @@
                 slot.1 = work.total(&entry.id).running;
             }
         }
-        drop((targets, upstreams, work, words));
+        drop((targets, upstreams, work, announcements));
         for id in self.loading(now) {
             let until = Deadline::after(now, LOADING_MS);
             parts.upstreams.borrow_mut().note_loading(&id, until);
@@ -183,7 +184,7 @@
 ///
 /// A part must not be freed while a request fetches it. Only requests on engines with the salt's
 /// weights do that, and engines never go back to older weights.
-pub fn useless_salt(
+pub fn is_salt_unreferenced(
     salt: &str,
     upstreams: &UpstreamTable,
     targets: &VersionTargets,
--- a/crates/guava-serve/tests/answer_words.rs
+++ b/crates/guava-serve/tests/answer_words.rs
@@ -5,8 +5,8 @@
 mod support;
 
 use guava_serve::{
-    AcceptedRequest, RefusalReason, RepeatRule, ServeOutcome, ServeParts, call_request, call_store,
-    call_upstream, serve_request,
+    AcceptedRequest, RefusalReason, RepeatRule, ServeContext, ServeOutcome, call_request,
+    call_store, call_upstream, serve_request,
 };
 use guava_types::{Deadline, LimitRate, Moment};
 use std::rc::Rc;
@@ -43,7 +43,7 @@
 }
 
 /// Serves a request by one upstream; what is known afterwards.
-fn served_by(upstream: &ScriptedUpstream, repeat: RepeatRule) -> Rc<ServeParts> {
+fn served_by(upstream: &ScriptedUpstream, repeat: RepeatRule) -> Rc<ServeContext> {
     run(async {
         let parts = parts(&[upstream]);
         let outcome = serve_request(&parts, &Rc::new(config(1)), ask(repeat)).await;
@@ -65,7 +65,7 @@
 
     let parts = served_by(&upstream, RepeatRule::NonIdempotent);
 
-    assert_eq!(parts.words.borrow().limit(&id("u0")), limit(2.0));
+    assert_eq!(parts.announcements.borrow().limit(&id("u0")), limit(2.0));
 }
 
 #[parameterized(
@@ -81,7 +81,7 @@
 
     let parts = served_by(&upstream, RepeatRule::NonIdempotent);
 
-    assert!(parts.words.borrow().is_leaving(&id("u0")));
+    assert!(parts.announcements.borrow().is_leaving(&id("u0")));
 }
 
 #[parameterized(
@@ -119,10 +119,10 @@
     run(async {
         let parts = parts(&[&breaks, &leaving]);
         // Only the first one can be chosen for the beginning.
-        parts.upstreams.borrow_mut().note_ended(&id("u1"), Deadline::in_millis(20));
+        parts.upstreams.borrow_mut().note_crashed(&id("u1"), Deadline::in_millis(20));
         let request = ask(RepeatRule::ResumableStream);
         let outcome = serve_request(&parts, &Rc::new(config(1)), request).await;
-        parts.words.borrow_mut().note_leaving(&id("u1"), Moment::now());
+        parts.announcements.borrow_mut().note_leaving(&id("u1"), Moment::now());
         read(outcome).await;
     });
 
@@ -135,7 +135,7 @@
 
     let parts = served_by(&upstream, RepeatRule::NonIdempotent);
 
-    assert_eq!(parts.words.borrow().limit(&id("u0")), None);
+    assert_eq!(parts.announcements.borrow().limit(&id("u0")), None);
 }
 
 #[parameterized(
@@ -148,7 +148,7 @@
     let known = run(async {
         let parts = parts(&[&upstream]);
         let outcome = serve_request(&parts, &Rc::new(config(1)), ask(repeat)).await;
-        let known = parts.words.borrow().limit(&id("u0"));
+        let known = parts.announcements.borrow().limit(&id("u0"));
         read(outcome).await;
         known
     });
@@ -167,7 +167,7 @@
         let called = call_upstream(&parts, &id("u0"), upstream.address, call, deadline, 100).await;
         assert!(called.is_ok());
         let sends = parts.sends.borrow().count(&id("u0"), 1_000, Moment::now());
-        (parts.words.borrow().limit(&id("u0")), sends)
+        (parts.announcements.borrow().limit(&id("u0")), sends)
     });
 
     assert_eq!((known, sends), (limit(2.0), 1));
@@ -230,7 +230,7 @@
 
     let parts = served_by(&upstream, RepeatRule::NonIdempotent);
 
-    assert!(parts.words.borrow().rest_until(&id("u0"), Moment::now()).is_some());
+    assert!(parts.announcements.borrow().backoff_until(&id("u0"), Moment::now()).is_some());
 }
 
 #[test]
@@ -239,7 +239,7 @@
 
     let parts = served_by(&upstream, RepeatRule::NonIdempotent);
 
-    assert!(parts.words.borrow().rest_until(&id("u0"), Moment::now()).is_none());
+    assert!(parts.announcements.borrow().backoff_until(&id("u0"), Moment::now()).is_none());
 }
 
 #[parameterized(
--- a/crates/guava-serve/tests/dispatch.rs
+++ b/crates/guava-serve/tests/dispatch.rs
@@ -5,7 +5,7 @@
 mod support;
 
 use guava_serve::{
-    AcceptedRequest, ExpectedLoad, RefusalReason, RepeatRule, ServeOutcome, ServeParts,
+    AcceptedRequest, ExpectedLoad, RefusalReason, RepeatRule, ServeContext, ServeOutcome,
     UpstreamEntry, WeightVersion, WorkTicket, call_request, serve_request,
 };
 use guava_types::{Deadline, Moment, TokenCount};
@@ -357,7 +357,7 @@
 }
 
 /// An engine whose memory is full of another run, and a long prompt for it.
-fn crowded(engine_at: &ScriptedUpstream) -> (Rc<ServeParts>, WorkTicket, AcceptedRequest) {
+fn crowded(engine_at: &ScriptedUpstream) -> (Rc<ServeContext>, WorkTicket, AcceptedRequest) {
     let parts = parts(&[]);
     let entry = UpstreamEntry { address: engine_at.address, ..engine("e", 1) };
     parts.upstreams.borrow_mut().note_entry(entry);
@@ -421,10 +421,10 @@
         let (parts, _running, request) = crowded(&upstream);
         let now = Moment::now();
         for ago in [600, 300, 0] {
-            parts.line.borrow_mut().note_start(now.minus_millis(ago));
+            parts.memory_queue.borrow_mut().note_start(now.minus_millis(ago));
         }
         for _ in 0..2 {
-            parts.line.borrow_mut().join(request.priority(), now);
+            parts.memory_queue.borrow_mut().join(request.priority(), now);
         }
         let begun = Instant::now();
         let outcome = serve_request(&parts, &Rc::new(config(1)), request).await;
@@ -446,8 +446,8 @@
         let served = serve_request(&parts, &config, request);
         let left = tokio::time::timeout(Duration::from_millis(60), served).await;
         assert!(left.is_err());
-        let next = parts.line.borrow_mut().join(9, Moment::now());
-        parts.line.borrow().is_first(next)
+        let next = parts.memory_queue.borrow_mut().join(9, Moment::now());
+        parts.memory_queue.borrow().is_first(next)
     });
 
     assert!(is_next);
@@ -569,7 +569,7 @@
     let got = run(async {
         let parts = parts(&[&engine, other]);
         // Only the engine can be chosen for the beginning.
-        parts.upstreams.borrow_mut().note_ended(&id("u1"), Deadline::in_millis(400));
+        parts.upstreams.borrow_mut().note_crashed(&id("u1"), Deadline::in_millis(400));
         let request = request(route("/x/", "app", RepeatRule::ResumableStream));
         read(serve_request(&parts, &Rc::new(config(1)), request).await).await
     });
@@ -604,7 +604,7 @@
 
     let (got, closed_after) = run(async {
         let parts = parts(&[&engine, &slow]);
-        parts.upstreams.borrow_mut().note_ended(&id("u1"), Deadline::in_millis(400));
+        parts.upstreams.borrow_mut().note_crashed(&id("u1"), Deadline::in_millis(400));
         let request = request(route("/x/", "app", RepeatRule::ResumableStream));
         let reading =
             async { read(serve_request(&parts, &Rc::new(config(1)), request).await).await };
--- a/crates/guava-serve/tests/hear_peers.rs
+++ b/crates/guava-serve/tests/hear_peers.rs
@@ -4,18 +4,18 @@
 
 mod support;
 
-use guava_serve::{PeerMessage, ReadMark, compose_message, hear_peers};
+use guava_serve::{PeerMessage, ReadMark, compose_message, receive_messages};
 use guava_types::Moment;
 use std::rc::Rc;
 use std::time::Duration;
-use support::{news, serve_parts};
+use support::{news, serve_context};
 use tokio::net::UdpSocket;
 
 /// How long the receiver does not run.
 const STALL: Duration = Duration::from_millis(1_500);
 
 fn message_with_word(as_of: Moment) -> PeerMessage {
-    let sender = serve_parts("d1");
+    let sender = serve_context("d1");
     let mut message = compose_message(&sender, news("d1"), as_of);
     message.list = Some(ReadMark { state: 7, as_of });
     message
@@ -30,10 +30,10 @@
     // Evidence: a word that lay in the socket for 1,500 ms counted as 1,503 ms fresher than it was.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let heard = tokio::task::LocalSet::new().block_on(&runtime, async {
-        let parts = Rc::new(serve_parts("d2"));
+        let parts = Rc::new(serve_context("d2"));
         let socket = Rc::new(UdpSocket::bind("127.0.0.1:0").await.unwrap());
         let address = socket.local_addr().unwrap();
-        tokio::task::spawn_local(hear_peers(Rc::clone(&parts), socket));
+        tokio::task::spawn_local(receive_messages(Rc::clone(&parts), socket));
         tokio::time::sleep(Duration::from_millis(100)).await;
 
         let sender = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
--- a/crates/guava-serve/tests/order_duty.rs
+++ b/crates/guava-serve/tests/order_duty.rs
@@ -5,7 +5,7 @@
 mod support;
 
 use guava_serve::{
-    EnginePort, EngineReport, LeaseNews, LeasePort, LoadOrder, OrderDuty, UpstreamEntry,
+    EnginePort, EngineReport, LeasePort, LeaseUpdate, LoadOrder, OrderTask, UpstreamEntry,
     VersionRollout, WeightVersion,
 };
 use guava_state::LeaseEntry;
@@ -13,12 +13,12 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
-use support::{engine, id, model, serve_parts};
+use support::{engine, id, model, serve_context};
 use tokio::time::sleep;
 
 /// A lease that whoever asks for it gets.
 fn free_lease() -> LeasePort {
-    let written = Rc::new(RefCell::new(LeaseNews::default()));
+    let written = Rc::new(RefCell::new(LeaseUpdate::default()));
     let read = Rc::clone(&written);
     LeasePort {
         read: Rc::new(move |_, _| {
@@ -26,7 +26,7 @@
             Box::pin(async move { Ok(news) })
         }),
         request: Rc::new(move |entry, only_at| {
-            *written.borrow_mut() = LeaseNews { newest: Some(entry), next: only_at + 1 };
+            *written.borrow_mut() = LeaseUpdate { newest: Some(entry), next: only_at + 1 };
             Box::pin(async { Ok(()) })
         }),
     }
@@ -55,7 +55,7 @@
     // Sequence: weights are published; the engine crashes and starts again under its name; its
     // report, which nobody expected to be of another start, comes before its entry.
     // Cause: the report was taken for one of the engine known here.
-    let parts = Rc::new(serve_parts("d1"));
+    let parts = Rc::new(serve_context("d1"));
     let listed = engine("e", 1);
     let before = UpstreamEntry { id: listed.id.started_at(100), ..listed.clone() };
     let after = UpstreamEntry { id: listed.id.started_at(200), ..listed };
@@ -65,7 +65,7 @@
     let (port, orders) =
         engines(EngineReport { versions, start_ms: Some(200), ..EngineReport::default() });
     let rollout = Rc::new(RefCell::new(VersionRollout::default()));
-    let duty = OrderDuty::new(Rc::clone(&parts), (free_lease(), port), 0, rollout);
+    let duty = OrderTask::new(Rc::clone(&parts), (free_lease(), port), 0, rollout);
 
     let run = async {
         while parts.upstreams.borrow().may_send(&before.id) {
@@ -95,7 +95,7 @@
     // Sequence: the holder is cut off from the store; the others look at its lease every 0.7 s, and
     // count its end from when they saw the last renewal.
     // Cause: their reads did not wait for the next renewal.
-    let parts = Rc::new(serve_parts("d1"));
+    let parts = Rc::new(serve_context("d1"));
     parts.upstreams.borrow_mut().note_entry(engine("e", 1));
     parts.targets.borrow_mut().offer(&model(), WeightVersion(2), Moment::now());
     let waits = Rc::new(RefCell::new(Vec::new()));
@@ -105,13 +105,13 @@
     let lease = LeasePort {
         read: Rc::new(move |_, wait_ms| {
             asked.borrow_mut().push(wait_ms);
-            let news = LeaseNews { newest: Some(held.clone()), next: 1 };
+            let news = LeaseUpdate { newest: Some(held.clone()), next: 1 };
             Box::pin(async move { Ok(news) })
         }),
         request: Rc::new(|_, _| Box::pin(async { Ok(()) })),
     };
     let (port, _) = engines(EngineReport::default());
-    let duty = OrderDuty::new(parts, (lease, port), 0, Rc::default());
+    let duty = OrderTask::new(parts, (lease, port), 0, Rc::default());
 
     let watched = async {
         while waits.borrow().len() < 3 {
--- a/crates/guava-serve/tests/part_duty.rs
+++ b/crates/guava-serve/tests/part_duty.rs
@@ -8,7 +8,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use support::{config_parts, serve_parts, store};
+use support::{config_parts, serve_context, store};
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
@@ -33,7 +33,7 @@
     // Sequence: a daemon starts; it reads the configuration some milliseconds later, and takes
     // prompts.
     // Cause: it looked for stores once, without a configuration, and then half a second later.
-    let parts = Rc::new(serve_parts("d1"));
+    let parts = Rc::new(serve_context("d1"));
     let followed = Rc::new(RefCell::new(Vec::new()));
     let duty = follow_stores(Rc::clone(&parts), Rc::new(empty_stores()), Rc::clone(&followed));
 
--- a/crates/guava-serve/tests/parts_index.rs
+++ b/crates/guava-serve/tests/parts_index.rs
@@ -6,8 +6,8 @@
 
 use guava_serve::{CallerIdentity, WeightVersion, salt_version};
 use guava_serve::{
-    HeldPart, PartEvent, PartIndex, PartKey, PartNews, PartSave, PromptPart, SaveLedger,
-    StoreTraits, StoreWord, cache_salt,
+    HeldPart, PartChange, PartEvent, PartIndex, PartKey, PartSave, PromptPart, SaveLedger,
+    StoreTraits, StoreUpdate, cache_salt,
 };
 use guava_types::{Moment, TokenCount};
 use std::net::SocketAddr;
@@ -193,20 +193,20 @@
     assert_eq!(salt_version(&salt(3, &walled)), Some(("m0", WeightVersion(3))));
 }
 
-fn word(epoch: u64, as_of: u64, is_whole: bool, parts: &[(&str, u64)]) -> StoreWord {
-    let news = |(id, tokens): &(&str, u64)| PartNews {
+fn word(epoch: u64, as_of: u64, is_whole: bool, parts: &[(&str, u64)]) -> StoreUpdate {
+    let news = |(id, tokens): &(&str, u64)| PartChange {
         key: PartKey::new("m0/1", id),
         tokens: TokenCount(*tokens),
     };
     let parts = parts.iter().map(news).collect();
-    StoreWord { store: stores()[0].address, epoch, as_of: Moment(as_of), is_whole, parts }
+    StoreUpdate { store: stores()[0].address, epoch, as_of: Moment(as_of), is_whole, parts }
 }
 
 #[test]
 fn what_a_follower_of_a_store_says_counts_with_its_age() {
     let mut index = PartIndex::default();
 
-    index.note_word(word(7, NOW.0 - 300, false, &[("p", 9_000)]), NOW);
+    index.note_store_update(word(7, NOW.0 - 300, false, &[("p", 9_000)]), NOW);
 
     assert!(index.holder(&stores(), "m0/1", &part("p", 9_000), NOW).is_some());
     let later = Moment(NOW.0 + 1_101);
@@ -216,11 +216,11 @@
 #[test]
 fn followers_word_of_a_restart_empties_the_store() {
     let mut index = PartIndex::default();
-    index.note_word(word(7, NOW.0 - 300, false, &[("p", 9_000)]), NOW);
+    index.note_store_update(word(7, NOW.0 - 300, false, &[("p", 9_000)]), NOW);
 
-    index.note_word(word(8, NOW.0 - 100, false, &[]), NOW);
+    index.note_store_update(word(8, NOW.0 - 100, false, &[]), NOW);
     // A late datagram from before the restart.
-    index.note_word(word(7, NOW.0 - 300, false, &[("p", 9_000)]), NOW);
+    index.note_store_update(word(7, NOW.0 - 300, false, &[("p", 9_000)]), NOW);
 
     assert!(index.holder(&stores(), "m0/1", &part("p", 9_000), NOW).is_none());
 }
@@ -228,9 +228,9 @@
 #[test]
 fn whole_word_replaces_what_was_missed() {
     let mut index = PartIndex::default();
-    index.note_word(word(7, NOW.0 - 300, false, &[("p", 9_000), ("q", 9_000)]), NOW);
+    index.note_store_update(word(7, NOW.0 - 300, false, &[("p", 9_000), ("q", 9_000)]), NOW);
 
-    index.note_word(word(7, NOW.0 - 100, true, &[("q", 9_000), ("r", 9_000)]), NOW);
+    index.note_store_update(word(7, NOW.0 - 100, true, &[("q", 9_000), ("r", 9_000)]), NOW);
 
     assert!(index.holder(&stores(), "m0/1", &part("p", 9_000), NOW).is_none());
     assert!(index.holder(&stores(), "m0/1", &part("r", 9_000), NOW).is_some());
@@ -245,9 +245,9 @@
     // Cause: the newest word replaced what the store itself had said.
     let mut index = index_with(vec![stored("m0/1", "p", 9_000)]);
 
-    index.note_word(word(7, NOW.0 + 100, true, &[]), NOW);
+    index.note_store_update(word(7, NOW.0 + 100, true, &[]), NOW);
 
-    let (epoch, useless) = index.useless_parts(stores()[0].address, |_| true);
+    let (epoch, useless) = index.unreferenced_parts(stores()[0].address, |_| true);
     assert_eq!((epoch, useless.len()), (7, 1));
 }
 
@@ -256,9 +256,9 @@
     let mut index = index_with(vec![stored("m0/1", "p", 9_000)]);
     let store = stores()[0].address;
 
-    let first = index.store_word(store, false).unwrap();
-    let second = index.store_word(store, false).unwrap();
-    let whole = index.store_word(store, true).unwrap();
+    let first = index.store_update(store, false).unwrap();
+    let second = index.store_update(store, false).unwrap();
+    let whole = index.store_update(store, true).unwrap();
 
     assert_eq!((first.parts.len(), second.parts.len(), whole.parts.len()), (1, 0, 1));
 }
--- a/crates/guava-serve/tests/peer_exchange.rs
+++ b/crates/guava-serve/tests/peer_exchange.rs
@@ -6,14 +6,14 @@
 
 use guava_serve::{
     EngineSpeed, ExpectedLoad, FetchWait, HeldPart, ListChange, ListChanges, ListRevision,
-    ListSource, ListedChange, MAX_DATAGRAM_BYTES, OwnNews, PartEvent, PartKey, PartSave,
-    PeerMessage, ReadMark, ReadPace, STANDBYS, SentPrompt, ServeIdentity, ServeParts,
-    UpstreamEntry, WeightVersion, WorkShare, compose_greeting, compose_message, compose_note,
-    compose_reads, datagrams, take_change, take_message,
+    ListSource, ListedChange, MAX_DATAGRAM_BYTES, OwnSummary, PartEvent, PartKey, PartSave,
+    PeerMessage, ReadMark, ReadPace, STANDBYS, SentPrompt, ServeContext, ServeIdentity,
+    UpstreamEntry, WeightVersion, WorkShare, compose_immediate, compose_initial_sync,
+    compose_message, compose_reads, datagrams, take_change, take_message,
 };
 use guava_types::{Moment, TokenCount, TokenRate, UpstreamId};
 use support::{
-    address, engine, id, leaving, model, news, note, part, serve_parts, store, upstream,
+    address, engine, id, leaving, model, news, note, part, serve_context, store, upstream,
 };
 
 const NOW: Moment = Moment(100_000);
@@ -33,19 +33,19 @@
 }
 
 /// Makes a daemon that knows the others' records one that stands by to read the store.
-fn behind_another(parts: &ServeParts) {
+fn behind_another(parts: &ServeContext) {
     parts.members.borrow_mut().note_listed();
     let name = &parts.identity.name;
     for place in 0.. {
-        if parts.members.borrow().read_turn(name, NOW) > 0 {
+        if parts.members.borrow().reader_rank(name, NOW) > 0 {
             return;
         }
-        parts.members.borrow_mut().note_heard(note(&format!("other{place}")), NOW);
+        parts.members.borrow_mut().note_from_peer(note(&format!("other{place}")), NOW);
     }
 }
 
 /// Passes a message on as bytes.
-fn pass(message: &PeerMessage, to: &ServeParts) {
+fn pass(message: &PeerMessage, to: &ServeContext) {
     let received = PeerMessage::decode(&message.encode(NOW), NOW).unwrap();
     take_message(to, received, NOW);
 }
@@ -55,15 +55,15 @@
     // Symptom: heavy prompts arrive late though most engines are idle.
     // Sequence: two daemons choose an engine within a quarter of a second; both take the same.
     // Cause: a daemon's work was told only with its next message.
-    let (one, two) = (serve_parts("d1"), serve_parts("d2"));
+    let (one, two) = (serve_context("d1"), serve_context("d2"));
     pass(&compose_message(&one, news("d1"), NOW), &two);
     one.just_sent.borrow_mut().push(long_prompt(id("e")));
 
-    pass(&compose_note(&one, note("d1")).unwrap(), &two);
+    pass(&compose_immediate(&one, note("d1")).unwrap(), &two);
 
     assert_eq!(two.work.borrow().total(&id("e")).waiting, TokenCount(12_000));
     assert!(two.work.borrow().wait_ms(&id("e"), 3, NOW) > 100.0);
-    assert!(compose_note(&one, note("d1")).is_none());
+    assert!(compose_immediate(&one, note("d1")).is_none());
 }
 
 #[test]
@@ -73,7 +73,7 @@
     // daemon gets a request with it, and has it read on another engine.
     // Cause: which parts a prompt has was told only with the next message, and to other data
     // centres not at all.
-    let (one, two) = (serve_parts("d1"), serve_parts("d2"));
+    let (one, two) = (serve_context("d1"), serve_context("d2"));
     let key = PartKey::new("m0/1", "p");
     let sent = SentPrompt {
         engine: id("e"),
@@ -87,8 +87,8 @@
     };
     one.just_sent.borrow_mut().push(sent.clone());
     one.just_sent.borrow_mut().push(SentPrompt { is_for_all: false, ..sent });
-    let note = compose_note(&one, note("d1")).unwrap();
-    let far = note.note_for_relay(|sent| sent.is_for_all).unwrap();
+    let note = compose_immediate(&one, note("d1")).unwrap();
+    let far = note.message_for_relay(|sent| sent.is_for_all).unwrap();
 
     pass(&far.clone().relayed(), &two);
 
@@ -96,7 +96,7 @@
     let memory = TokenCount(70_000);
     let shared = part("p", 12_800);
     let stores = vec![store("s1", 1)];
-    let mut index = two.parts.borrow_mut();
+    let mut index = two.part_index.borrow_mut();
     let held = HeldPart { salt: "m0/1".into(), id: "other".into(), tokens: TokenCount(9_000) };
     index.note_events(stores[0].address, 1, vec![PartEvent::Stored(held)], NOW);
     assert_eq!(index.store_for(&stores, "m0/1", &shared, NOW), None);
@@ -105,18 +105,18 @@
 
 #[test]
 fn engines_that_will_load_are_known_before_they_refuse() {
-    let (one, two) = (serve_parts("d1"), serve_parts("d2"));
+    let (one, two) = (serve_context("d1"), serve_context("d2"));
     two.upstreams.borrow_mut().note_entry(engine("e", 1));
     one.just_loading.borrow_mut().push(id("e"));
 
-    pass(&compose_note(&one, note("d1")).unwrap(), &two);
+    pass(&compose_immediate(&one, note("d1")).unwrap(), &two);
 
     assert!(two.upstreams.borrow().is_loading(&id("e"), NOW));
 }
 
 #[test]
 fn publication_keeps_its_age_from_daemon_to_daemon() {
-    let (one, two) = (serve_parts("d1"), serve_parts("d2"));
+    let (one, two) = (serve_context("d1"), serve_context("d2"));
     one.targets.borrow_mut().offer(&model(), WeightVersion(2), Moment(NOW.0 - 7_000));
 
     pass(&compose_message(&one, news("d1"), NOW), &two);
@@ -130,7 +130,7 @@
     // Symptom: each change of the list makes all daemons read it at the same moment.
     // Sequence: the reader's digest changes, and the others' do not.
     // Cause: only the digest was told.
-    let (reader, other) = (serve_parts("d1"), serve_parts("d2"));
+    let (reader, other) = (serve_context("d1"), serve_context("d2"));
     for parts in [&reader, &other] {
         parts.upstreams.borrow_mut().note_entry(upstream("a", "app"));
         let digest = parts.upstreams.borrow().digest();
@@ -146,14 +146,14 @@
 
     assert!(!other.upstreams.borrow().may_send(&id("a")));
     let digest = other.upstreams.borrow().digest();
-    let mut words = other.reads.borrow_mut();
-    words.list.note_state(digest);
-    assert_eq!(words.list.confirmed(), Some(NOW));
+    let mut announcements = other.reads.borrow_mut();
+    announcements.list.note_state(digest);
+    assert_eq!(announcements.list.confirmed(), Some(NOW));
 }
 
 #[test]
 fn message_for_other_data_centres_leaves_out_what_they_read_themselves() {
-    let one = serve_parts("d1");
+    let one = serve_context("d1");
     one.list_changes.borrow_mut().note(ListedChange::Removed(id("a"), ListRevision(7)), NOW);
     let message = compose_message(&one, news("d1"), NOW);
     assert_eq!(message.listed.len(), 1);
@@ -169,7 +169,7 @@
     // Sequence: a relay is suspended with a message in its socket's buffer, and passes it on
     // seconds later.
     // Cause: ages are taken from the moment of arrival, and the wait at the relay is not in them.
-    let (one, two) = (serve_parts("d1"), serve_parts("d2"));
+    let (one, two) = (serve_context("d1"), serve_context("d2"));
     one.reads.borrow_mut().operator.note_own(12, NOW);
     one.reads.borrow_mut().list.note_own(13, NOW);
     let message = compose_message(&one, news("d1"), NOW);
@@ -187,7 +187,7 @@
 #[test]
 fn message_is_passed_on_once() {
     // Symptom: daemons of a data centre send each other the same message for ever.
-    let one = serve_parts("d1");
+    let one = serve_context("d1");
 
     let received = compose_message(&one, news("d1"), NOW).for_relay();
 
@@ -197,7 +197,7 @@
 
 #[test]
 fn own_message_that_comes_back_is_passed_over() {
-    let one = serve_parts("d1");
+    let one = serve_context("d1");
     let mut message = compose_message(&one, news("d1"), NOW);
     message.list = Some(ReadMark { state: 1, as_of: NOW });
 
@@ -236,14 +236,14 @@
     // Sequence: the engine starts again under its name; a peer knows and sends it a prompt; this
     // daemon hears of that before it reads the list.
     // Cause: the peer's word was taken for one on the start known here.
-    let (one, two) = (serve_parts("d1"), serve_parts("d2"));
+    let (one, two) = (serve_context("d1"), serve_context("d2"));
     let entry = engine("e", 1);
     let before = UpstreamEntry { id: entry.id.started_at(100), ..entry.clone() };
     let after = UpstreamEntry { id: entry.id.started_at(200), ..entry };
     two.upstreams.borrow_mut().note_entry(before.clone());
     one.just_sent.borrow_mut().push(long_prompt(after.id.clone()));
 
-    pass(&compose_note(&one, note("d1")).unwrap(), &two);
+    pass(&compose_immediate(&one, note("d1")).unwrap(), &two);
 
     assert!(!two.upstreams.borrow().may_send(&before.id));
     let late = take_change(
@@ -267,7 +267,7 @@
     // Symptom: after some daemons have noticed a slow link, the prompts of the others are late on it.
     // Sequence: each daemon fetches from the store twice a second, and needs a few late fetches.
     // Cause: each learnt for itself.
-    let (one, two, three) = (serve_parts("d1"), serve_parts("d2"), serve_parts("d3"));
+    let (one, two, three) = (serve_context("d1"), serve_context("d2"), serve_context("d3"));
     let store = address(5);
     let wait = FetchWait { stores: vec![store], expected_ms: 50.0, other_ms: 40.0 };
     for daemon in [&one, &two] {
@@ -295,23 +295,25 @@
     // Sequence: words on the store have an age that counts and can't be relayed, so each data centre
     // had a reader of its own.
     // Cause: the reader told only those near it.
-    let (reader, far) = (serve_parts("d1"), serve_parts("d2"));
+    let (reader, far) = (serve_context("d1"), serve_context("d2"));
     far.reads.borrow_mut().operator.note_own(12, Moment(NOW.0 - 2_000));
     reader.reads.borrow_mut().operator.note_own(12, Moment(NOW.0 - 300));
     reader.members.borrow_mut().note_listed();
 
-    compose_reads(&reader, &note("d1"), NOW).iter().for_each(|words| pass(words, &far));
+    compose_reads(&reader, &note("d1"), NOW)
+        .iter()
+        .for_each(|announcements| pass(announcements, &far));
 
-    let words = far.reads.borrow();
-    assert_eq!(words.operator.confirmed(), Some(Moment(NOW.0 - 300)));
-    drop(words);
+    let announcements = far.reads.borrow();
+    assert_eq!(announcements.operator.confirmed(), Some(Moment(NOW.0 - 300)));
+    drop(announcements);
     behind_another(&far);
     assert!(compose_reads(&far, &note("d2"), NOW).is_empty(), "its own word is older");
 }
 
 #[test]
 fn words_leave_what_a_daemon_said_before_of_its_work() {
-    let (one, two) = (serve_parts("d1"), serve_parts("d2"));
+    let (one, two) = (serve_context("d1"), serve_context("d2"));
     let share = WorkShare { waiting: TokenCount(5), memory: TokenCount(6), running: 2 };
     let mut message = compose_message(&one, news("d1"), NOW);
     message.shares.insert(id("e"), share);
@@ -319,20 +321,22 @@
     one.reads.borrow_mut().operator.note_own(12, NOW);
     one.members.borrow_mut().note_listed();
 
-    compose_reads(&one, &note("d1"), NOW).iter().for_each(|words| pass(words, &two));
+    compose_reads(&one, &note("d1"), NOW)
+        .iter()
+        .for_each(|announcements| pass(announcements, &two));
 
     assert_eq!(two.work.borrow().total(&id("e")).running, 2);
 }
 
 #[test]
 fn daemons_that_come_far_behind_in_turn_tell_no_words() {
-    let one = serve_parts("d1");
+    let one = serve_context("d1");
     one.reads.borrow_mut().operator.note_own(12, NOW);
     for place in 0..100 {
-        one.members.borrow_mut().note_heard(note(&format!("other{place}")), NOW);
+        one.members.borrow_mut().note_from_peer(note(&format!("other{place}")), NOW);
     }
     one.members.borrow_mut().note_listed();
-    let turn = one.members.borrow().read_turn(&one.identity.name, NOW);
+    let turn = one.members.borrow().reader_rank(&one.identity.name, NOW);
     assert!(turn > STANDBYS, "{turn}");
 
     assert!(compose_reads(&one, &note("d1"), NOW).is_empty());
@@ -340,12 +344,12 @@
 
 #[test]
 fn prompt_for_an_engine_elsewhere_concerns_its_data_centre() {
-    let one = serve_parts("d1");
+    let one = serve_context("d1");
     one.just_sent.borrow_mut().push(long_prompt(id("e")));
-    let note = compose_note(&one, note("d1")).unwrap();
+    let note = compose_immediate(&one, note("d1")).unwrap();
 
-    let concerned = note.note_for_relay(|sent| sent.engine == id("e"));
-    let other = note.note_for_relay(|sent| sent.engine == id("f"));
+    let concerned = note.message_for_relay(|sent| sent.engine == id("e"));
+    let other = note.message_for_relay(|sent| sent.engine == id("f"));
 
     assert!(concerned.is_some_and(|far| far.is_for_relay && far.sent.len() == 1));
     assert!(other.is_none());
@@ -357,7 +361,7 @@
     // Sequence: some hundred upstreams are listed within a second; the reader tells what one datagram
     // holds, and the digest of them all.
     // Cause: changes beyond that were forgotten, and the digest differed at all others.
-    let (reader, other) = (serve_parts("d1"), serve_parts("d2"));
+    let (reader, other) = (serve_context("d1"), serve_context("d2"));
     reader.members.borrow_mut().note_listed();
     for parts in [&reader, &other] {
         let digest = parts.upstreams.borrow().digest();
@@ -372,11 +376,15 @@
     reader.reads.borrow_mut().list.note_own(digest, NOW);
 
     let summary = compose_message(&reader, news("d1"), NOW);
-    let words = compose_reads(&reader, &note("d1"), NOW);
-    words.iter().for_each(|words| pass(words, &other));
+    let announcements = compose_reads(&reader, &note("d1"), NOW);
+    announcements.iter().for_each(|announcements| pass(announcements, &other));
 
     assert!(summary.list.is_none() && summary.listed.is_empty());
-    assert!(words.iter().all(|words| words.encode(NOW).len() <= MAX_DATAGRAM_BYTES));
+    assert!(
+        announcements
+            .iter()
+            .all(|announcements| announcements.encode(NOW).len() <= MAX_DATAGRAM_BYTES)
+    );
     assert_eq!(other.upstreams.borrow().digest(), digest);
     let mut known = other.reads.borrow_mut();
     known.list.note_state(digest);
@@ -390,7 +398,7 @@
     // Cause: what had come between the offsets was not told.
     let pace = ReadPace::within(4_000);
     let other_turn = STANDBYS + 1;
-    let (reader, other) = (serve_parts("d1"), serve_parts("d2"));
+    let (reader, other) = (serve_context("d1"), serve_context("d2"));
     reader.members.borrow_mut().note_listed();
     for parts in [&reader, &other] {
         parts.reads.borrow_mut().operator.note_own(12, Moment(NOW.0 - 500));
@@ -399,7 +407,9 @@
     reader.reads.borrow_mut().operator.note_own(13, NOW);
     reader.reads.borrow_mut().published_since = Some(12);
 
-    compose_reads(&reader, &note("d1"), NOW).iter().for_each(|words| pass(words, &other));
+    compose_reads(&reader, &note("d1"), NOW)
+        .iter()
+        .for_each(|announcements| pass(announcements, &other));
 
     let target = other.targets.borrow().target(&model()).unwrap();
     assert_eq!((target.version, target.learned), (WeightVersion(2), Moment(NOW.0 - 20)));
@@ -415,13 +425,15 @@
     // latter, and takes the offset after both for its own.
     // Cause: that only publications came was true for whoever had read the configuration.
     let pace = ReadPace::within(4_000);
-    let (reader, other) = (serve_parts("d1"), serve_parts("d2"));
+    let (reader, other) = (serve_context("d1"), serve_context("d2"));
     reader.members.borrow_mut().note_listed();
     other.reads.borrow_mut().operator.note_own(11, Moment(NOW.0 - 500));
     reader.reads.borrow_mut().operator.note_own(13, NOW);
     reader.reads.borrow_mut().published_since = Some(12);
 
-    compose_reads(&reader, &note("d1"), NOW).iter().for_each(|words| pass(words, &other));
+    compose_reads(&reader, &note("d1"), NOW)
+        .iter()
+        .for_each(|announcements| pass(announcements, &other));
 
     let operator = other.reads.borrow().operator;
     assert_eq!(operator.own().unwrap().state, 11);
@@ -434,36 +446,36 @@
     // Sequence: a daemon starts, reads the others' records, and leaves each store to one of them; what
     // the store holds it is told whole only every ten messages, three seconds apart.
     // Cause: nobody told a daemon that was new what had been told to all before.
-    let (follower, newcomer) = (serve_parts("d1"), serve_parts("d2"));
+    let (follower, newcomer) = (serve_context("d1"), serve_context("d2"));
     let store = store("s1", 1);
     let held = HeldPart { salt: "m0/1".into(), id: "p".into(), tokens: TokenCount(9_000) };
-    follower.parts.borrow_mut().note_list(store.address, 7, vec![held], NOW);
+    follower.part_index.borrow_mut().note_list(store.address, 7, vec![held], NOW);
     let mut news = news("d1");
     news.followed = vec![store.address];
-    drop(compose_message(&follower, OwnNews { number: 1, ..news.clone() }, NOW));
+    drop(compose_message(&follower, OwnSummary { number: 1, ..news.clone() }, NOW));
 
     pass(&compose_message(&newcomer, self::news("d2"), NOW), &follower);
-    let greeted = std::mem::take(&mut *follower.newcomers.borrow_mut());
-    compose_greeting(&follower, &news, NOW).iter().for_each(|message| pass(message, &newcomer));
+    let greeted = std::mem::take(&mut *follower.new_peers.borrow_mut());
+    compose_initial_sync(&follower, &news, NOW).iter().for_each(|message| pass(message, &newcomer));
     pass(&compose_message(&newcomer, self::news("d2"), NOW), &follower);
 
     assert_eq!(greeted, [address(1)]);
-    assert!(follower.newcomers.borrow().is_empty(), "it is greeted once");
+    assert!(follower.new_peers.borrow().is_empty(), "it is greeted once");
     let stores = vec![store];
-    let index = newcomer.parts.borrow();
+    let index = newcomer.part_index.borrow();
     assert!(index.holder(&stores, "m0/1", &part("p", 9_000), NOW).is_some());
 }
 
 #[test]
 fn greeting_leaves_to_all_others_what_is_new() {
-    let follower = serve_parts("d1");
+    let follower = serve_context("d1");
     let store = store("s1", 1);
     let held = HeldPart { salt: "m0/1".into(), id: "p".into(), tokens: TokenCount(9_000) };
-    follower.parts.borrow_mut().note_list(store.address, 7, vec![held], NOW);
+    follower.part_index.borrow_mut().note_list(store.address, 7, vec![held], NOW);
     let mut news = news("d1");
     news.followed = vec![store.address];
 
-    drop(compose_greeting(&follower, &news, NOW));
+    drop(compose_initial_sync(&follower, &news, NOW));
 
     assert_eq!(compose_message(&follower, news, NOW).stores[0].parts.len(), 1);
 }
@@ -475,15 +487,15 @@
     // Sequence: some daemons read for themselves, later than the reader; it hears of that, and says
     // nothing of its older word until it has read again; the others wait for it, and read.
     // Cause: the reader told only what was the freshest word that it knew.
-    let reader = serve_parts("d1");
+    let reader = serve_context("d1");
     reader.members.borrow_mut().note_listed();
     reader.reads.borrow_mut().list.note_own(7, Moment(NOW.0 - 900));
     let later = ReadMark { state: 7, as_of: Moment(NOW.0 - 100) };
-    reader.reads.borrow_mut().list.note_heard(later);
+    reader.reads.borrow_mut().list.note_from_peer(later);
 
-    let words = compose_reads(&reader, &note("d1"), NOW);
+    let announcements = compose_reads(&reader, &note("d1"), NOW);
 
-    assert_eq!(words[0].list.map(|word| word.as_of), Some(Moment(NOW.0 - 900)));
+    assert_eq!(announcements[0].list.map(|word| word.as_of), Some(Moment(NOW.0 - 900)));
 }
 
 /// An engine's entry with weights, as a record of the list.
@@ -501,7 +513,7 @@
     // that a daemon reads after it was told later ones.
     // Evidence: at a daemon that sent an engine work 3.6 s after it left, the log has "gone", "added",
     // "gone", "added", "gone", "added" for it within 0.9 s, and the send 2.6 s later.
-    let (behind, ahead) = (serve_parts("d1"), serve_parts("d2"));
+    let (behind, ahead) = (serve_context("d1"), serve_context("d2"));
     for parts in [&behind, &ahead] {
         take_change(parts, engine_record(1, 10), ListSource::Store, NOW);
         parts.upstreams.borrow_mut().order().note_position(ListRevision(11));
@@ -520,7 +532,7 @@
 #[test]
 fn changes_that_peers_tell_count_in_the_order_of_the_list() {
     // Guards against an upstream that is taken in again since datagrams overtook each other.
-    let one = serve_parts("d1");
+    let one = serve_context("d1");
     let teller = "d2".parse().unwrap();
     let told = |change| take_change(&one, change, ListSource::Peer(&teller), NOW);
 
@@ -538,7 +550,7 @@
     // read it, and hear nothing of its work, of engines' weights and of the list.
     // Cause: a message was bounded by the number of some of its items, and not by its length.
     // Evidence: 11,256 bytes, of which receivers take 8,192.
-    let (one, two) = (serve_parts("d1"), serve_parts("d2"));
+    let (one, two) = (serve_context("d1"), serve_context("d2"));
     let now = Moment::now();
     for number in 0..90 {
         let engine = id(&format!("i-{number:08x}"));
@@ -577,7 +589,7 @@
 #[test]
 fn own_read_does_not_bring_back_what_a_peer_told_to_be_removed() {
     // Guards against a daemon that reads its backlog after it was told the newest records.
-    let one = serve_parts("d1");
+    let one = serve_context("d1");
     let teller = "d2".parse().unwrap();
     take_change(&one, engine_record(1, 10), ListSource::Store, NOW);
     let removed = ListedChange::Removed(id("e"), ListRevision(30));
--- a/crates/guava-serve/tests/retry_pause.rs
+++ b/crates/guava-serve/tests/retry_pause.rs
@@ -4,9 +4,9 @@
 
 mod support;
 
-use guava_serve::{MemberNote, RetryPause, STANDBYS, is_read_urgent};
+use guava_serve::{MemberDescriptor, RetryPause, STANDBYS, is_read_urgent};
 use guava_types::Moment;
-use support::{address, serve_parts};
+use support::{address, serve_context};
 
 /// Calls that a daemon makes while the store refuses all of them for so long.
 fn calls_in(millis: u64, is_urgent: bool) -> u64 {
@@ -53,20 +53,20 @@
 
 #[test]
 fn daemon_without_a_configuration_asks_often_whatever_its_turn() {
-    let parts = serve_parts("d1");
+    let parts = serve_context("d1");
     for place in 0..100 {
-        let note = MemberNote {
+        let note = MemberDescriptor {
             name: format!("other{place}").parse().unwrap(),
             data_centre: "east".parse().unwrap(),
             peer_address: address(place),
             caller_address: address(place),
             is_ready: true,
         };
-        parts.members.borrow_mut().note_heard(note, Moment::now());
+        parts.members.borrow_mut().note_from_peer(note, Moment::now());
     }
     parts.members.borrow_mut().note_listed();
     let name = &parts.identity.name;
-    assert!(parts.members.borrow().read_turn(name, Moment::now()) > STANDBYS);
+    assert!(parts.members.borrow().reader_rank(name, Moment::now()) > STANDBYS);
 
     assert!(is_read_urgent(&parts));
 }
--- a/crates/guava-serve/tests/send_gate.rs
+++ b/crates/guava-serve/tests/send_gate.rs
@@ -4,16 +4,19 @@
 
 mod support;
 
-use guava_policy::{AnswerWords, ColdRule, LimitNotice, LimitWord, SendLedger, WordTable};
+use guava_policy::{
+    AnnouncedLimit, AnnouncementTable, ColdRule, LimitNotice, SendLedger, UpstreamAnnouncements,
+};
 use guava_serve::{
     DrainNotice, DrainTable, GateInput, GateState, ListChange, MemberTable, PeerMessage,
-    ServeParts, ServiceRule, UpstreamEntry, UpstreamTable, closed_upstreams, compose_message,
-    compose_reads, compose_words, gate_state, note_words, pass_gate, take_drain, take_message,
+    ServeContext, ServiceRule, UpstreamEntry, UpstreamTable, closed_upstreams,
+    compose_announcements, compose_message, compose_reads, gate_state, note_announcements,
+    pass_gate, take_drain, take_message,
 };
 use guava_types::{Deadline, LimitRate, MemberName, Moment};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use support::{address, news, note, serve_parts, upstream};
+use support::{address, news, note, serve_context, upstream};
 use yare::parameterized;
 
 /// What the upstreams of the tests bear.
@@ -46,7 +49,7 @@
 struct PlayedDaemon {
     name: MemberName,
     members: MemberTable,
-    words: WordTable,
+    announcements: AnnouncementTable,
     sends: SendLedger,
 }
 
@@ -56,15 +59,15 @@
         let others = known.filter(|other| *other != number);
         others.for_each(|other| members.note_record(note(name(other).as_str()), started));
         members.note_listed();
-        let words = WordTable::default();
-        Self { name: name(number), members, words, sends: SendLedger::new(started) }
+        let announcements = AnnouncementTable::default();
+        Self { name: name(number), members, announcements, sends: SendLedger::new(started) }
     }
 
     /// Sends to an upstream if it may.
     fn try_send(&mut self, entry: &UpstreamEntry, now: Moment) -> bool {
         let input = GateInput {
             drains: &DrainTable::default(),
-            words: &self.words,
+            announcements: &self.announcements,
             cold: Some(RULE),
             sends: &self.sends,
             members: &self.members,
@@ -162,7 +165,7 @@
             let mut daemon = PlayedDaemon::new(number, 0..DAEMONS, Moment(START.0 - 60_000));
             let near = (0..DAEMONS).filter(|other| other % 2 == number % 2 && *other != number);
             near.for_each(|other| {
-                daemon.members.note_heard(note(name(other).as_str()), START);
+                daemon.members.note_from_peer(note(name(other).as_str()), START);
             });
             daemon
         })
@@ -192,17 +195,17 @@
 }
 
 /// A daemon that knows an upstream in a data centre.
-fn daemon(own_name: &str) -> ServeParts {
-    let parts = serve_parts(own_name);
+fn daemon(own_name: &str) -> ServeContext {
+    let parts = serve_context(own_name);
     parts.upstreams.borrow_mut().note_entry(upstream("u", "app"));
     parts
 }
 
-fn is_closed(parts: &ServeParts) -> bool {
+fn is_closed(parts: &ServeContext) -> bool {
     !closed_upstreams(parts, &app_rule(), Moment::now()).is_empty()
 }
 
-fn pass(message: &PeerMessage, to: &ServeParts) {
+fn pass(message: &PeerMessage, to: &ServeContext) {
     let now = Moment::now();
     take_message(to, PeerMessage::decode(&message.encode(now), now).unwrap(), now);
 }
@@ -232,7 +235,7 @@
     let state = |now: Moment| {
         let input = GateInput {
             drains: &drains,
-            words: &WordTable::default(),
+            announcements: &AnnouncementTable::default(),
             cold: Some(RULE),
             sends: &SendLedger::new(Moment(0)),
             members: &PlayedDaemon::new(0, 0..1, START).members,
@@ -307,7 +310,7 @@
     // Only upstreams of a drained data centre rest; its daemons serve.
     let parts = daemon("d1");
     take_drain(&parts, &drain(5, true), Moment::now());
-    parts.members.borrow_mut().note_heard(note("d2"), Moment::now());
+    parts.members.borrow_mut().note_from_peer(note("d2"), Moment::now());
 
     assert_eq!(parts.members.borrow().caller_addresses(Moment::now()), [address(2)]);
 }
@@ -327,7 +330,7 @@
     let mut fleet: Vec<PlayedDaemon> =
         (0..daemons).map(|number| PlayedDaemon::new(number, 0..daemons, started)).collect();
     for daemon in &mut fleet {
-        daemon.words.note_notice(&notice, START);
+        daemon.announcements.note_notice(&notice, START);
     }
     fleet
 }
@@ -371,7 +374,7 @@
     let notice = LimitNotice { upstream: entry.id.clone(), rate: Some(limit), as_of: START };
     for millis in (500..8_000).step_by(10) {
         let now = later(millis);
-        again.iter_mut().for_each(|one| drop(one.words.note_notice(&notice, now)));
+        again.iter_mut().for_each(|one| drop(one.announcements.note_notice(&notice, now)));
         sent.extend(again.iter_mut().filter_map(|one| one.try_send(&entry, now).then_some(now)));
     }
 
@@ -385,36 +388,44 @@
     two.members.borrow_mut().note_listed();
     let id = upstream("u", "app").id;
     let limit = LimitRate::per_second(0.0).unwrap();
-    let named = AnswerWords { limit: LimitWord::Named(limit), ..AnswerWords::default() };
+    let named = UpstreamAnnouncements {
+        limit: AnnouncedLimit::Named(limit),
+        ..UpstreamAnnouncements::default()
+    };
     let sent = Moment::now();
 
-    note_words(&one, &id, &named, sent);
-    pass(&compose_words(&one, &note("d1")).unwrap(), &two);
-    let while_limited = two.words.borrow().limit(&id);
+    note_announcements(&one, &id, &named, sent);
+    pass(&compose_announcements(&one, &note("d1")).unwrap(), &two);
+    let while_limited = two.announcements.borrow().limit(&id);
     std::thread::sleep(std::time::Duration::from_millis(5));
-    note_words(&one, &id, &AnswerWords::default(), Moment::now());
+    note_announcements(&one, &id, &UpstreamAnnouncements::default(), Moment::now());
     pass(&compose_message(&one, news("d1"), Moment::now()), &two);
 
     assert_eq!(while_limited, Some(limit));
-    assert!(compose_words(&one, &note("d1")).is_none(), "an end can wait for the summary");
-    assert_eq!(two.words.borrow().limit(&id), None);
+    assert!(compose_announcements(&one, &note("d1")).is_none(), "an end can wait for the summary");
+    assert_eq!(two.announcements.borrow().limit(&id), None);
 }
 
-fn says_leaving() -> AnswerWords {
-    AnswerWords { is_leaving: true, ..AnswerWords::default() }
+fn says_leaving() -> UpstreamAnnouncements {
+    UpstreamAnnouncements { is_leaving: true, ..UpstreamAnnouncements::default() }
 }
 
 #[test]
 fn list_that_has_a_leaving_upstream_as_serving_brings_it_no_work() {
     let parts = daemon("d1");
     let entry = upstream("u", "app");
-    note_words(&parts, &entry.id, &says_leaving(), Moment::now());
+    note_announcements(&parts, &entry.id, &says_leaving(), Moment::now());
 
     parts.upstreams.borrow_mut().note_entry(entry.clone());
     let after_heartbeat = is_closed(&parts);
     parts.upstreams.borrow_mut().note_removed(&entry.id, Moment::now());
     parts.upstreams.borrow_mut().note_entry(entry);
-    note_words(&parts, &upstream("u", "app").id, &AnswerWords::default(), Moment::now());
+    note_announcements(
+        &parts,
+        &upstream("u", "app").id,
+        &UpstreamAnnouncements::default(),
+        Moment::now(),
+    );
 
     assert!(after_heartbeat);
     assert!(is_closed(&parts), "listed anew under the same id");
@@ -424,7 +435,7 @@
 fn next_start_of_an_upstream_that_left_gets_work() {
     let parts = daemon("d1");
     let id = upstream("u", "app").id;
-    note_words(&parts, &id, &says_leaving(), Moment::now());
+    note_announcements(&parts, &id, &says_leaving(), Moment::now());
 
     let next = UpstreamEntry { id: id.started_at(7), ..upstream("u", "app") };
     parts.upstreams.borrow_mut().note_entry(next);
@@ -436,9 +447,9 @@
 fn leaving_reaches_daemons_that_had_no_answer_and_leaves_their_lists_alike() {
     let (one, two) = (daemon("d1"), daemon("d2"));
     let digest = one.upstreams.borrow().digest();
-    note_words(&one, &upstream("u", "app").id, &says_leaving(), Moment::now());
+    note_announcements(&one, &upstream("u", "app").id, &says_leaving(), Moment::now());
 
-    pass(&compose_words(&one, &note("d1")).unwrap(), &two);
+    pass(&compose_announcements(&one, &note("d1")).unwrap(), &two);
 
     assert!(is_closed(&two));
     // Daemons compare their lists by a digest, and read the list where these differ.
@@ -451,8 +462,8 @@
 #[test]
 fn summary_tells_of_a_leaving_upstream_whose_first_note_was_lost() {
     let (one, two) = (daemon("d1"), daemon("d2"));
-    note_words(&one, &upstream("u", "app").id, &says_leaving(), Moment::now());
-    drop(compose_words(&one, &note("d1")));
+    note_announcements(&one, &upstream("u", "app").id, &says_leaving(), Moment::now());
+    drop(compose_announcements(&one, &note("d1")));
 
     pass(&compose_message(&one, news("d1"), Moment::now()), &two);
 
--- a/crates/guava-serve/tests/serve_config.rs
+++ b/crates/guava-serve/tests/serve_config.rs
@@ -4,7 +4,7 @@
 
 mod support;
 
-use guava_serve::{CallerIdentity, ConfigKeeper, ConfigParts, ServeConfig};
+use guava_serve::{CallerIdentity, ConfigParts, CurrentConfig, ServeConfig};
 use support::{config, config_parts};
 use yare::parameterized;
 
@@ -62,7 +62,7 @@
     // Symptom: a revoked key works again for some seconds.
     // Sequence: version 7 is in force; a read that is seconds behind brings version 6.
     // Cause: the last one read was taken for the newest one.
-    let mut keeper = ConfigKeeper::default();
+    let mut keeper = CurrentConfig::default();
     keeper.offer(config(7));
 
     let is_taken = keeper.offer(config(6));
--- a/crates/guava-serve/tests/shared_reads.rs
+++ b/crates/guava-serve/tests/shared_reads.rs
@@ -45,7 +45,7 @@
 fn word_of_the_same_state_spares_a_read() {
     let mut keeper = keeper();
 
-    keeper.note_heard(heard(5, 11_000));
+    keeper.note_from_peer(heard(5, 11_000));
 
     assert_eq!(keeper.confirmed(), Some(Moment(11_000)));
     assert!(!keeper.is_due(OTHER, PACE, Moment(12_200)));
@@ -56,7 +56,7 @@
 fn word_of_another_state_asks_for_a_read_at_once() {
     let mut keeper = keeper();
 
-    keeper.note_heard(heard(6, 10_100));
+    keeper.note_from_peer(heard(6, 10_100));
 
     assert!(keeper.is_due(OTHER, PACE, Moment(10_150)));
 }
@@ -65,7 +65,7 @@
 fn word_from_before_the_own_read_means_nothing() {
     let mut keeper = keeper();
 
-    keeper.note_heard(heard(4, 9_900));
+    keeper.note_from_peer(heard(4, 9_900));
 
     assert!(!keeper.is_due(OTHER, PACE, Moment(10_150)));
     assert_eq!(keeper.confirmed(), Some(Moment(10_000)));
@@ -78,7 +78,7 @@
     // Cause: no news was taken for good news.
     let pace = ReadPace::within(2_000);
     let mut keeper = keeper();
-    keeper.note_heard(heard(5, 10_900));
+    keeper.note_from_peer(heard(5, 10_900));
 
     let due = (11_000..).find(|now| keeper.is_due(OTHER, pace, Moment(*now))).unwrap();
 
@@ -123,7 +123,7 @@
 
     assert!(standby.is_urgent(5, Moment(read), pace));
     standby.note_own(5, Moment(read));
-    other.note_heard(standby.own().unwrap());
+    other.note_from_peer(standby.own().unwrap());
 
     assert!(!(10_000..read).any(|now| other.is_due(OTHER, pace, Moment(now))));
     assert!(!other.is_due(OTHER, pace, Moment(read + pace.expiry_ms - 1)));
@@ -150,9 +150,9 @@
     only_publications: bool,
     expected: Option<u64>,
 ) {
-    let mut words = SharedReads { published_since: before, ..SharedReads::default() };
+    let mut announcements = SharedReads { published_since: before, ..SharedReads::default() };
 
-    words.note_records(12, count, only_publications);
+    announcements.note_records(12, count, only_publications);
 
-    assert_eq!(words.published_since, expected);
+    assert_eq!(announcements.published_since, expected);
 }
--- a/crates/guava-serve/tests/small_rules.rs
+++ b/crates/guava-serve/tests/small_rules.rs
@@ -4,14 +4,14 @@
 
 mod support;
 
-use guava_policy::{ClearNotice, LimitNotice, StopNotice};
+use guava_policy::{ClearNotice, LimitNotice, QuarantineNotice};
 use guava_serve::{
-    CallerIdentity, DrainNotice, EndNotice, EngineSpeed, EventFramer, ExpectedLoad, ListRevision,
-    ListedChange, LoadedVersion, MemberNote, MemberTable, PartKey, PartNews, PartSave, PeerMessage,
-    PrefillRate, PublishedVersion, ReadMark, RefusalReason, RepeatRule, RetryLimit, RetryShares,
-    STANDBYS, SendRecord, SentPrompt, ServiceInput, SlowLink, StoreTransfer, StoreWord,
-    UpstreamTable, WeightVersion, WorkShare, WorkTable, choose_instance, draw_service,
-    first_answer_patience, return_after_ms,
+    CallerIdentity, CrashNotice, DrainNotice, EngineSpeed, EventFramer, ExpectedLoad, ListRevision,
+    ListedChange, LoadedVersion, MemberDescriptor, MemberTable, PartChange, PartKey, PartSave,
+    PeerMessage, PrefillRate, PublishedVersion, ReadMark, RefusalReason, RepeatRule, RetryLimit,
+    RetryShares, STANDBYS, SendRecord, SentPrompt, ServiceInput, SlowLink, StoreTransfer,
+    StoreUpdate, UpstreamTable, WeightVersion, WorkShare, WorkTable, choose_instance, draw_service,
+    first_answer_timeout_ms, return_after_ms,
 };
 use guava_types::{
     Deadline, FastMap, LimitRate, MemberName, Moment, RequestDigest, TokenCount, TokenRate,
@@ -100,14 +100,14 @@
     runs: u32,
     expected: Option<u64>,
 ) {
-    assert_eq!(first_answer_patience(&route("/x/", "app", repeat), runs, 30.0), expected);
+    assert_eq!(first_answer_timeout_ms(&route("/x/", "app", repeat), runs, 30.0), expected);
 }
 
 #[test]
 fn slow_start_that_was_expected_is_no_reason_to_go_elsewhere() {
     let route = route("/x/", "llm", RepeatRule::ResumableStream);
 
-    assert_eq!(first_answer_patience(&route, 0, 400.0), Some(1_000));
+    assert_eq!(first_answer_timeout_ms(&route, 0, 400.0), Some(1_000));
 }
 
 #[test]
@@ -145,7 +145,7 @@
     upstreams.note_entry(upstream("a", "app"));
     upstreams.note_entry(upstream("b", "app"));
     let mut work = WorkTable::default();
-    (0..4).for_each(|_| work.stumbled(&id("a"), Moment(1_000)));
+    (0..4).for_each(|_| work.note_failed_answer(&id("a"), Moment(1_000)));
     let chosen_at = |now, work: &WorkTable| {
         let chosen = |draw| {
             choose_instance(&ServiceInput {
@@ -168,8 +168,8 @@
     assert_eq!(chosen_at(Moment(40_000), &work), [id("a"), id("a")]);
 }
 
-fn note(name: &str, is_ready: bool) -> MemberNote {
-    MemberNote {
+fn note(name: &str, is_ready: bool) -> MemberDescriptor {
+    MemberDescriptor {
         name: name.parse().unwrap(),
         data_centre: "east".parse().unwrap(),
         peer_address: address(1),
@@ -181,8 +181,8 @@
 #[test]
 fn only_ready_daemons_heard_lately_are_handed_out() {
     let mut members = MemberTable::new("east".parse().unwrap());
-    members.note_heard(note("ready", true), Moment(10_000));
-    members.note_heard(note("leaving", false), Moment(10_000));
+    members.note_from_peer(note("ready", true), Moment(10_000));
+    members.note_from_peer(note("leaving", false), Moment(10_000));
     members.note_record(note("recorded", true), Moment(10_000));
 
     assert_eq!(members.caller_addresses(Moment(10_500)).len(), 1);
@@ -190,9 +190,9 @@
 }
 
 /// A daemon of another data centre, with a peer port that tells it apart.
-fn far_note(name: &str, centre: &str, port: u16) -> MemberNote {
+fn far_note(name: &str, centre: &str, port: u16) -> MemberDescriptor {
     let data_centre = centre.parse().unwrap();
-    MemberNote { data_centre, peer_address: address(port), ..note(name, true) }
+    MemberDescriptor { data_centre, peer_address: address(port), ..note(name, true) }
 }
 
 #[test]
@@ -202,9 +202,9 @@
     // Cause: always the same relay, or one that is only known by its record.
     let mut members = MemberTable::new("east".parse().unwrap());
     let now = Moment(10_000);
-    members.note_heard(note("near", true), now);
-    members.note_heard(far_note("w1", "west", 11), now);
-    members.note_heard(far_note("w2", "west", 12), now);
+    members.note_from_peer(note("near", true), now);
+    members.note_from_peer(far_note("w1", "west", 11), now);
+    members.note_from_peer(far_note("w2", "west", 12), now);
     members.note_record(far_note("w3", "west", 13), now);
     members.note_record(far_note("s1", "south", 21), now);
 
@@ -231,7 +231,7 @@
     let now = Moment(10_000);
     for place in 0..RELAYS {
         let port = u16::try_from(place).unwrap() + 1_000;
-        members.note_heard(far_note(&format!("w{place}"), "west", port), now);
+        members.note_from_peer(far_note(&format!("w{place}"), "west", port), now);
     }
     let names: Vec<MemberName> = (0..FAR).map(|n| format!("e{n}").parse().unwrap()).collect();
 
@@ -254,9 +254,9 @@
     let turn = |me: &str| {
         let mut members = MemberTable::new("east".parse().unwrap());
         for other in names.iter().filter(|other| **other != me) {
-            members.note_heard(note(other, true), Moment(10_000));
+            members.note_from_peer(note(other, true), Moment(10_000));
         }
-        members.turn(&me.parse().unwrap(), "orders", Moment(10_000))
+        members.rank(&me.parse().unwrap(), "orders", Moment(10_000))
     };
 
     let mut turns: Vec<usize> = names.iter().map(|name| turn(name)).collect();
@@ -287,12 +287,12 @@
             version: WeightVersion(3),
             age_ms: 1_200,
         }],
-        stores: vec![StoreWord {
+        stores: vec![StoreUpdate {
             store: address(5),
             epoch: 9,
             as_of: Moment(99_000),
             is_whole: true,
-            parts: vec![PartNews { key: PartKey(4), tokens: TokenCount(12_000) }],
+            parts: vec![PartChange { key: PartKey(4), tokens: TokenCount(12_000) }],
         }],
         operator: Some(ReadMark { state: 12, as_of: Moment(99_500) }),
         published_since: Some(11),
@@ -304,14 +304,14 @@
             ListedChange::Removed(id("h"), ListRevision(7)),
         ],
         slow_links: vec![SlowLink { store: address(5), hundredths: 420 }],
-        ended: vec![EndNotice {
+        ended: vec![CrashNotice {
             upstream: id("e"),
             at: Moment(99_960),
             requests: vec![RequestDigest(7)],
         }],
-        stops: vec![StopNotice { request: RequestDigest(8), left_ms: 9_000, times: 2 }],
+        stops: vec![QuarantineNotice { request: RequestDigest(8), left_ms: 9_000, times: 2 }],
         cleared: vec![ClearNotice { request: RequestDigest(9), at: Moment(99_990) }],
-        knows_stops: true,
+        knows_quarantines: true,
         drains: vec![DrainNotice {
             data_centre: "east".parse().unwrap(),
             as_of: 7,
@@ -327,7 +327,7 @@
             LimitNotice { upstream: id("f"), rate: None, as_of: Moment(99_980) },
         ],
         leaving: vec![id("g")],
-        is_note: false,
+        is_immediate: false,
         is_continued: true,
         is_for_relay: true,
     };
@@ -452,7 +452,8 @@
     let mut members = MemberTable::new("east".parse().unwrap());
     for place in 0..daemons {
         let centre = centres[usize::from(place) % centres.len()];
-        members.note_heard(far_note(&format!("d{place}"), centre, 1_000 + place), Moment(10_000));
+        members
+            .note_from_peer(far_note(&format!("d{place}"), centre, 1_000 + place), Moment(10_000));
     }
     members
 }
@@ -493,15 +494,18 @@
     let me = "d0".parse().unwrap();
     let mut members = MemberTable::new("east".parse().unwrap());
     let started = Moment(10_000);
-    assert!(members.read_turn(&me, started) > STANDBYS, "it knows of nobody, and may not be alone");
+    assert!(
+        members.reader_rank(&me, started) > STANDBYS,
+        "it knows of nobody, and may not be alone"
+    );
     for place in 1..100 {
         members.note_record(far_note(&format!("d{place}"), "west", 1_000 + place), started);
     }
 
-    let unlisted = members.read_turn(&me, started);
+    let unlisted = members.reader_rank(&me, started);
     members.note_listed();
-    let turn = members.read_turn(&me, started);
-    let later = members.read_turn(&me, Moment(started.0 + 10_000));
+    let turn = members.reader_rank(&me, started);
+    let later = members.reader_rank(&me, Moment(started.0 + 10_000));
 
     assert!(turn > 0 && unlisted > STANDBYS, "{turn} and {unlisted}");
     assert_eq!(later, 0, "none of them was ever heard");
@@ -519,10 +523,10 @@
     let table = |me: &str, is_other_ready: bool| {
         let mut members = MemberTable::new("east".parse().unwrap());
         let other = names.iter().find(|name| **name != me).unwrap();
-        members.note_heard(note(other, true), now);
-        members.note_heard(note(other, is_other_ready), now);
+        members.note_from_peer(note(other, true), now);
+        members.note_from_peer(note(other, is_other_ready), now);
         members.note_listed();
-        members.read_turn(&me.parse().unwrap(), now)
+        members.reader_rank(&me.parse().unwrap(), now)
     };
     let first = *names.iter().find(|name| table(name, true) == 0).unwrap();
     let second = *names.iter().find(|name| **name != first).unwrap();
@@ -538,9 +542,9 @@
     let mut members = MemberTable::new("east".parse().unwrap());
     let now = Moment(10_000);
     for place in 0..50 {
-        members.note_heard(note(&format!("d{place}"), false), now);
+        members.note_from_peer(note(&format!("d{place}"), false), now);
     }
     members.note_listed();
 
-    assert!(members.read_turn(&"d99".parse().unwrap(), now) > 0);
+    assert!(members.reader_rank(&"d99".parse().unwrap(), now) > 0);
 }
--- a/crates/guava-serve/tests/support/mod.rs
+++ b/crates/guava-serve/tests/support/mod.rs
@@ -9,9 +9,9 @@
 
 use guava_serve::{
     AcceptedRequest, AnswerMarks, CallerIdentity, ConfigParts, ConfigVersion, CustomerRule,
-    Dialect, EngineTraits, ListRevision, MemberNote, OwnNews, PromptPart, PromptShape, RepeatRule,
-    RequestHead, RetryLimit, RouteRule, ServeBounds, ServeConfig, ServeIdentity, ServeParts,
-    ServiceRule, StoreTraits, UpstreamEntry, VersionLimits, WeightVersion,
+    Dialect, EngineTraits, ListRevision, MemberDescriptor, OwnSummary, PromptPart, PromptShape,
+    RepeatRule, RequestHead, RetryLimit, RouteRule, ServeBounds, ServeConfig, ServeContext,
+    ServeIdentity, ServiceRule, StoreTraits, UpstreamEntry, VersionLimits, WeightVersion,
 };
 use guava_types::{Deadline, FastMap, ModelName, Moment, TokenCount, UpstreamId};
 use std::net::SocketAddr;
@@ -155,7 +155,7 @@
 }
 
 /// The parts of a daemon with a name, which speaks to nobody.
-pub fn serve_parts(name: &str) -> ServeParts {
+pub fn serve_context(name: &str) -> ServeContext {
     let identity = ServeIdentity {
         name: name.parse().unwrap(),
         data_centre: "east".parse().unwrap(),
@@ -174,12 +174,12 @@
         marks: |_, _| AnswerMarks::default(),
         strip: |_| {},
     };
-    ServeParts::new(identity, bounds, dialect)
+    ServeContext::new(identity, bounds, dialect)
 }
 
 /// What a daemon says of itself.
-pub fn note(name: &str) -> MemberNote {
-    MemberNote {
+pub fn note(name: &str) -> MemberDescriptor {
+    MemberDescriptor {
         name: name.parse().unwrap(),
         data_centre: "east".parse().unwrap(),
         peer_address: address(1),
@@ -189,8 +189,8 @@
 }
 
 /// What a daemon without duties has to tell.
-pub fn news(name: &str) -> OwnNews {
-    OwnNews {
+pub fn news(name: &str) -> OwnSummary {
+    OwnSummary {
         note: note(name),
         loading: Vec::new(),
         loaded: Vec::new(),
--- a/crates/guava-serve/tests/support/served.rs
+++ b/crates/guava-serve/tests/support/served.rs
@@ -2,9 +2,9 @@
 
 use super::scripted::ScriptedUpstream;
 use super::upstream;
-use guava_policy::AnswerWords;
+use guava_policy::UpstreamAnnouncements;
 use guava_serve::{
-    AnswerMarks, Dialect, RetryLimit, ServeBounds, ServeIdentity, ServeOutcome, ServeParts,
+    AnswerMarks, Dialect, RetryLimit, ServeBounds, ServeContext, ServeIdentity, ServeOutcome,
     UpstreamEntry, VersionLimits,
 };
 use guava_types::Moment;
@@ -16,15 +16,15 @@
     headers.get(name)?.to_str().ok().map(Into::into)
 }
 
-fn words(status: StatusCode, headers: &HeaderMap) -> AnswerWords {
-    let mut words = AnswerWords::default();
-    words.read_limit(headers.get_all("x-limit").iter().map(|value| value.as_bytes()));
-    words.read_leaving(headers.get_all("x-leaving").iter().map(|value| value.as_bytes()));
+fn announcements(status: StatusCode, headers: &HeaderMap) -> UpstreamAnnouncements {
+    let mut announcements = UpstreamAnnouncements::default();
+    announcements.read_limit(headers.get_all("x-limit").iter().map(|value| value.as_bytes()));
+    announcements.read_leaving(headers.get_all("x-leaving").iter().map(|value| value.as_bytes()));
     if status.is_server_error() || status == StatusCode::TOO_MANY_REQUESTS {
         let rests = headers.get_all("retry-after").iter().map(|value| value.as_bytes());
-        words.read_rest(rests, Moment::now());
+        announcements.read_retry_after(rests, Moment::now());
     }
-    words
+    announcements
 }
 
 /// A dialect whose headers begin with `x-`.
@@ -52,14 +52,14 @@
             is_last: false,
             is_framed: headers.contains_key("content-length")
                 || headers.contains_key("transfer-encoding"),
-            words: words(status, headers),
+            announcements: announcements(status, headers),
         },
         strip: |headers| drop(headers.remove("transfer-encoding")),
     }
 }
 
 /// A daemon that knows these upstreams of the plain service, `u0` and so on.
-pub fn parts(upstreams: &[&ScriptedUpstream]) -> Rc<ServeParts> {
+pub fn parts(upstreams: &[&ScriptedUpstream]) -> Rc<ServeContext> {
     let identity = ServeIdentity {
         name: "d1".parse().unwrap(),
         data_centre: "east".parse().unwrap(),
@@ -73,7 +73,7 @@
         cold_times: 1.0,
         held_bytes: 1 << 20,
     };
-    let parts = Rc::new(ServeParts::new(identity, bounds, dialect()));
+    let parts = Rc::new(ServeContext::new(identity, bounds, dialect()));
     for (index, scripted) in upstreams.iter().enumerate() {
         let entry = upstream(&format!("u{index}"), "app");
         let entry = UpstreamEntry { address: scripted.address, ..entry };
--- a/crates/guava-serve/tests/upstream_ends.rs
+++ b/crates/guava-serve/tests/upstream_ends.rs
@@ -5,28 +5,28 @@
 mod support;
 
 use guava_serve::{
-    EndNotice, MAX_DATAGRAM_BYTES, PeerMessage, PortError, ServeParts, ServiceInput, StopPort,
-    StopRecord, StopSight, UpstreamTable, WorkTable, choose_instance, compose_end_notes,
-    compose_message, compose_reads, is_read_due, keep_stops, note_request_answered,
-    note_upstream_end, take_message,
+    CrashNotice, MAX_DATAGRAM_BYTES, PeerMessage, PortError, QuarantinePort, QuarantineRecord,
+    QuarantineSync, ServeContext, ServiceInput, UpstreamTable, WorkTable, choose_instance,
+    compose_crash_notices, compose_message, compose_reads, is_read_due, note_request_answered,
+    note_upstream_crash, persist_quarantines, take_message,
 };
 use guava_types::{Deadline, Moment, RequestDigest};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
-use support::{id, news, note, serve_parts, upstream};
+use support::{id, news, note, serve_context, upstream};
 use yare::parameterized;
 
-const POISON: RequestDigest = RequestDigest(7);
-const BESIDE: RequestDigest = RequestDigest(8);
+const CRASHING: RequestDigest = RequestDigest(7);
+const CONCURRENT: RequestDigest = RequestDigest(8);
 
-fn summary(parts: &ServeParts, name: &str) -> PeerMessage {
+fn summary(parts: &ServeContext, name: &str) -> PeerMessage {
     compose_message(parts, news(name), Moment::now())
 }
 
 /// A daemon that knows some upstreams.
-fn daemon(name: &str) -> Rc<ServeParts> {
-    let parts = serve_parts(name);
+fn daemon(name: &str) -> Rc<ServeContext> {
+    let parts = serve_context(name);
     for number in 0..200 {
         parts.upstreams.borrow_mut().note_entry(upstream(&format!("u{number}"), "app"));
     }
@@ -34,13 +34,13 @@
 }
 
 /// An upstream ended at a daemon under these requests, each by itself.
-fn end_at(parts: &ServeParts, number: usize, requests: &[RequestDigest]) {
+fn end_at(parts: &ServeContext, number: usize, requests: &[RequestDigest]) {
     let at = Moment::now().minus_millis(100 * number as u64);
-    note_upstream_end(parts, &id(&format!("u{number}")), requests.to_vec(), at);
+    note_upstream_crash(parts, &id(&format!("u{number}")), requests.to_vec(), at);
 }
 
 /// Passes messages on as bytes.
-fn pass(messages: &[PeerMessage], to: &ServeParts) {
+fn pass(messages: &[PeerMessage], to: &ServeContext) {
     let now = Moment::now();
     for message in messages {
         let bytes = message.encode(now);
@@ -49,12 +49,12 @@
     }
 }
 
-fn tell_at_once(from: &ServeParts, name: &str, to: &ServeParts) {
-    pass(&compose_end_notes(from, &note(name), Moment::now()), to);
+fn tell_at_once(from: &ServeContext, name: &str, to: &ServeContext) {
+    pass(&compose_crash_notices(from, &note(name), Moment::now()), to);
 }
 
-fn is_stopped(parts: &ServeParts, request: RequestDigest) -> bool {
-    parts.ledger.borrow().stopped_until(request, Moment::now()).is_some()
+fn is_stopped(parts: &ServeContext, request: RequestDigest) -> bool {
+    parts.ledger.borrow().quarantined_until(request, Moment::now()).is_some()
 }
 
 #[test]
@@ -66,12 +66,12 @@
     let all = [("d1", &one), ("d2", &two), ("d3", &three)];
 
     for (number, (name, from)) in all.iter().enumerate() {
-        end_at(from, number, &[POISON, RequestDigest(100 + number as u128)]);
-        let told = compose_end_notes(from, &note(name), Moment::now());
+        end_at(from, number, &[CRASHING, RequestDigest(100 + number as u128)]);
+        let told = compose_crash_notices(from, &note(name), Moment::now());
         all.iter().for_each(|(_, to)| pass(&told, to));
     }
 
-    assert!(is_stopped(&three, POISON));
+    assert!(is_stopped(&three, CRASHING));
     assert!(!is_stopped(&three, RequestDigest(100)));
 }
 
@@ -81,19 +81,19 @@
     // Sequence: its three ends, each by itself, reach them in one message.
     // Cause: when they were heard was taken for when they were.
     let (one, two) = (daemon("d1"), daemon("d2"));
-    (0..3).for_each(|number| end_at(&one, number, &[POISON]));
+    (0..3).for_each(|number| end_at(&one, number, &[CRASHING]));
 
     pass(&[PeerMessage { stops: Vec::new(), ..summary(&one, "d1") }], &two);
 
-    assert!(is_stopped(&two, POISON));
+    assert!(is_stopped(&two, CRASHING));
 }
 
 #[test]
 fn ends_of_one_moment_told_by_several_daemons_count_as_one() {
     let (one, two, three) = (daemon("d1"), daemon("d2"), daemon("d3"));
     let at = Moment::now().minus_millis(1_000);
-    let ended = |parts: &ServeParts, number: usize| {
-        note_upstream_end(parts, &id(&format!("u{number}")), vec![BESIDE], at);
+    let ended = |parts: &ServeContext, number: usize| {
+        note_upstream_crash(parts, &id(&format!("u{number}")), vec![CONCURRENT], at);
     };
     (0..2).for_each(|number| ended(&one, number));
     ended(&two, 2);
@@ -101,30 +101,30 @@
     tell_at_once(&one, "d1", &three);
     tell_at_once(&two, "d2", &three);
 
-    assert!(!is_stopped(&three, BESIDE));
+    assert!(!is_stopped(&three, CONCURRENT));
 }
 
 #[test]
 fn end_whose_note_was_lost_comes_with_the_next_summary() {
     let (one, two) = (daemon("d1"), daemon("d2"));
-    (0..3).for_each(|number| end_at(&one, number, &[POISON]));
-    drop(compose_end_notes(&one, &note("d1"), Moment::now()));
+    (0..3).for_each(|number| end_at(&one, number, &[CRASHING]));
+    drop(compose_crash_notices(&one, &note("d1"), Moment::now()));
     let lost_for = PeerMessage { stops: Vec::new(), ..summary(&one, "d1") };
 
     pass(&[lost_for], &two);
 
-    assert!(is_stopped(&two, POISON));
+    assert!(is_stopped(&two, CRASHING));
 }
 
 #[test]
 fn verdict_reaches_a_daemon_that_saw_none_of_the_ends() {
     let (one, two) = (daemon("d1"), daemon("d2"));
-    (0..3).for_each(|number| end_at(&one, number, &[POISON]));
+    (0..3).for_each(|number| end_at(&one, number, &[CRASHING]));
     let told = PeerMessage { ended: Vec::new(), ..summary(&one, "d1") };
 
     pass(&[told.for_relay().relayed()], &two);
 
-    assert!(is_stopped(&two, POISON));
+    assert!(is_stopped(&two, CRASHING));
 }
 
 #[test]
@@ -133,11 +133,11 @@
     one.members.borrow_mut().note_listed();
     let now = Moment::now();
     one.reads.borrow_mut().operator.note_own(5, now);
-    (0..3).for_each(|number| end_at(&one, number, &[POISON]));
+    (0..3).for_each(|number| end_at(&one, number, &[CRASHING]));
 
     pass(&compose_reads(&one, &note("d1"), now), &two);
 
-    assert!(is_stopped(&two, POISON));
+    assert!(is_stopped(&two, CRASHING));
 }
 
 #[test]
@@ -152,11 +152,11 @@
     tell_at_once(&one, "d1", &two);
 
     let now = Moment::now();
-    let has_ended = |parts: &ServeParts, number| {
-        parts.upstreams.borrow().has_ended(&id(&format!("u{number}")), now)
+    let has_crashed = |parts: &ServeContext, number| {
+        parts.upstreams.borrow().has_crashed(&id(&format!("u{number}")), now)
     };
-    assert!((0..200).all(|number| has_ended(&one, number)));
-    assert!(!(0..200).any(|number| has_ended(&two, number)));
+    assert!((0..200).all(|number| has_crashed(&one, number)));
+    assert!(!(0..200).any(|number| has_crashed(&two, number)));
 }
 
 #[test]
@@ -165,7 +165,7 @@
     upstreams.note_entry(upstream("a", "app"));
     upstreams.note_entry(upstream("b", "app"));
     let now = Moment(1_000);
-    upstreams.note_ended(&id("a"), Deadline::after(now, 500));
+    upstreams.note_crashed(&id("a"), Deadline::after(now, 500));
     let choose = |now, draw| {
         choose_instance(&ServiceInput {
             service: &"app".parse().unwrap(),
@@ -195,7 +195,7 @@
     let now = Moment(1_000);
     for name in ["a", "b"] {
         upstreams.note_entry(upstream(name, "app"));
-        upstreams.note_ended(&id(name), Deadline::after(now, 500));
+        upstreams.note_crashed(&id(name), Deadline::after(now, 500));
     }
 
     assert_eq!(upstreams.serving(&"app".parse().unwrap(), now).count(), 2);
@@ -208,10 +208,10 @@
         let mut entry = upstream(&format!("u{number}"), "app");
         entry.is_leaving = true;
         parts.upstreams.borrow_mut().note_entry(entry);
-        end_at(&parts, number, &[BESIDE]);
+        end_at(&parts, number, &[CONCURRENT]);
     }
 
-    assert!(!is_stopped(&parts, BESIDE) && parts.ledger.borrow().is_empty());
+    assert!(!is_stopped(&parts, CONCURRENT) && parts.ledger.borrow().is_empty());
 }
 
 #[test]
@@ -223,33 +223,35 @@
     tell_at_once(&one, "d1", &two);
     pass(&[summary(&one, "d1")], &two);
 
-    assert_eq!(two.ledger.borrow().count_of_ends(), 100);
+    assert_eq!(two.ledger.borrow().crash_count(), 100);
 }
 
 #[test]
 fn answer_at_one_daemon_clears_a_request_at_the_others() {
     let (one, two) = (daemon("d1"), daemon("d2"));
-    (0..2).for_each(|number| end_at(&one, number, &[BESIDE]));
+    (0..2).for_each(|number| end_at(&one, number, &[CONCURRENT]));
     tell_at_once(&one, "d1", &two);
 
-    one.ledger.borrow_mut().note_answer(BESIDE, Moment::now());
+    one.ledger.borrow_mut().note_answer(CONCURRENT, Moment::now());
     pass(&[summary(&one, "d1")], &two);
-    end_at(&two, 5, &[BESIDE]);
+    end_at(&two, 5, &[CONCURRENT]);
 
-    assert!(!is_stopped(&two, BESIDE));
+    assert!(!is_stopped(&two, CONCURRENT));
 }
 
 #[test]
 fn end_is_not_told_again_for_a_request_that_was_answered() {
     let (one, two) = (daemon("d1"), daemon("d2"));
-    (0..3).for_each(|number| end_at(&one, number, &[BESIDE, RequestDigest(100 + number as u128)]));
-    note_request_answered(&one, BESIDE);
+    (0..3).for_each(|number| {
+        end_at(&one, number, &[CONCURRENT, RequestDigest(100 + number as u128)])
+    });
+    note_request_answered(&one, CONCURRENT);
 
     // The first word that this daemon gets of all that.
     pass(&[PeerMessage { cleared: Vec::new(), ..summary(&one, "d1") }], &two);
 
-    assert!(!is_stopped(&two, BESIDE));
-    assert_eq!(two.ledger.borrow().count_of_ends(), 3);
+    assert!(!is_stopped(&two, CONCURRENT));
+    assert_eq!(two.ledger.borrow().crash_count(), 3);
 }
 
 #[parameterized(
@@ -267,14 +269,14 @@
     turn: usize,
     is_due: bool,
 ) {
-    let sight = StopSight { is_known, told: Moment(told) };
+    let sight = QuarantineSync { is_known, told: Moment(told) };
 
     assert_eq!(is_read_due(sight, Moment(0), turn, 5, Moment(now)), is_due);
 }
 
 #[test]
 fn daemon_without_peers_reads_the_records_once() {
-    let sight = StopSight { is_known: true, told: Moment(0) };
+    let sight = QuarantineSync { is_known: true, told: Moment(0) };
 
     assert!(!is_read_due(sight, Moment(0), 0, 0, Moment(60_000)));
 }
@@ -282,15 +284,15 @@
 /// Records in a store that can be away.
 #[derive(Default)]
 struct PlayedStore {
-    records: RefCell<Vec<StopRecord>>,
-    is_away: Cell<bool>,
+    records: RefCell<Vec<QuarantineRecord>>,
+    is_unavailable: Cell<bool>,
     reads: Cell<usize>,
 }
 
 impl PlayedStore {
-    fn port(self: &Rc<Self>) -> StopPort {
+    fn port(self: &Rc<Self>) -> QuarantinePort {
         let [reading, writing, removing] = [(); 3].map(|()| Rc::clone(self));
-        StopPort {
+        QuarantinePort {
             read: Rc::new(move || {
                 reading.reads.set(reading.reads.get() + 1);
                 let read = reading.answer().map(|()| reading.records.borrow().clone());
@@ -301,7 +303,7 @@
                 Box::pin(async { written })
             }),
             remove: Rc::new(move |request| {
-                let kept = |record: &StopRecord| record.request != request;
+                let kept = |record: &QuarantineRecord| record.request != request;
                 let removed =
                     removing.answer().map(|()| removing.records.borrow_mut().retain(kept));
                 Box::pin(async { removed })
@@ -310,15 +312,15 @@
     }
 
     fn answer(&self) -> Result<(), PortError> {
-        if self.is_away.get() { Err(PortError::new(&"away")) } else { Ok(()) }
+        if self.is_unavailable.get() { Err(PortError::new(&"away")) } else { Ok(()) }
     }
 }
 
 /// Runs the duty of a daemon that is the only one until something holds.
-fn keep_until(parts: &Rc<ServeParts>, store: &Rc<PlayedStore>, holds: impl Fn() -> bool) {
+fn keep_until(parts: &Rc<ServeContext>, store: &Rc<PlayedStore>, holds: impl Fn() -> bool) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let duty = tokio::task::spawn_local(keep_stops(Rc::clone(parts), store.port()));
+        let duty = tokio::task::spawn_local(persist_quarantines(Rc::clone(parts), store.port()));
         let deadline = Deadline::in_millis(10_000);
         while !holds() {
             assert!(!deadline.passed(Moment::now()), "it does not come to hold");
@@ -328,7 +330,7 @@
     });
 }
 
-fn alone() -> Rc<ServeParts> {
+fn alone() -> Rc<ServeContext> {
     let parts = daemon("d1");
     parts.members.borrow_mut().note_listed();
     parts
@@ -338,56 +340,56 @@
 fn stopped_request_outlasts_all_daemons() {
     let store = Rc::new(PlayedStore::default());
     let (before, after) = (alone(), alone());
-    (0..3).for_each(|number| end_at(&before, number, &[POISON]));
+    (0..3).for_each(|number| end_at(&before, number, &[CRASHING]));
 
     keep_until(&before, &store, || !store.records.borrow().is_empty());
-    keep_until(&after, &store, || is_stopped(&after, POISON));
+    keep_until(&after, &store, || is_stopped(&after, CRASHING));
 
-    assert_eq!(*store.records.borrow(), [StopRecord { request: POISON, times: 1 }]);
-    assert!(after.stop_sight.get().is_known);
+    assert_eq!(*store.records.borrow(), [QuarantineRecord { request: CRASHING, times: 1 }]);
+    assert!(after.quarantine_sync.get().is_known);
 }
 
 #[test]
 fn stopped_request_is_written_once_the_store_is_back() {
     let store = Rc::new(PlayedStore::default());
-    store.is_away.set(true);
+    store.is_unavailable.set(true);
     let parts = alone();
-    (0..3).for_each(|number| end_at(&parts, number, &[POISON]));
+    (0..3).for_each(|number| end_at(&parts, number, &[CRASHING]));
 
     keep_until(&parts, &store, || store.reads.get() >= 2);
-    store.is_away.set(false);
+    store.is_unavailable.set(false);
     keep_until(&parts, &store, || store.records.borrow().len() == 1);
 
-    assert!(is_stopped(&parts, POISON));
+    assert!(is_stopped(&parts, CRASHING));
 }
 
 #[test]
 fn record_of_a_request_that_was_cleared_is_dropped() {
     let store = Rc::new(PlayedStore::default());
     let parts = alone();
-    store.records.borrow_mut().push(StopRecord { request: BESIDE, times: 1 });
+    store.records.borrow_mut().push(QuarantineRecord { request: CONCURRENT, times: 1 });
     let (clearing, stored) = (Rc::clone(&parts), Rc::clone(&store));
 
     keep_until(&parts, &store, move || {
         // It is answered after all: its run was under way when it was stopped.
-        clearing.ledger.borrow_mut().note_answer(BESIDE, Moment::now());
+        clearing.ledger.borrow_mut().note_answer(CONCURRENT, Moment::now());
         stored.records.borrow().is_empty()
     });
 
-    assert!(!is_stopped(&parts, BESIDE));
+    assert!(!is_stopped(&parts, CONCURRENT));
 }
 
 #[test]
 fn end_of_an_upstream_that_is_not_listed_here_counts() {
     let parts = daemon("d1");
-    let strangers = (0..3).map(|number| EndNotice {
+    let strangers = (0..3).map(|number| CrashNotice {
         upstream: id(&format!("stranger{number}")),
         at: Moment::now().minus_millis(100 * number),
-        requests: vec![POISON],
+        requests: vec![CRASHING],
     });
     let message = PeerMessage { ended: strangers.collect(), ..summary(&daemon("d2"), "d2") };
 
     pass(&[message], &parts);
 
-    assert!(is_stopped(&parts, POISON));
+    assert!(is_stopped(&parts, CRASHING));
 }
--- a/crates/guava-serve/tests/upstream_table.rs
+++ b/crates/guava-serve/tests/upstream_table.rs
@@ -56,7 +56,7 @@
     // says that all are removed; living upstreams register again within two seconds.
     // Cause: a removal that only shows the outage was taken for an upstream's end.
     let mut table = table();
-    table.note_away();
+    table.note_unavailable();
     table.note_read(Moment(20_000));
 
     let change = table.note_removed(&id("a"), Moment(20_001));
@@ -74,7 +74,7 @@
 fn upstream_that_was_leaving_before_the_outage_does_not_come_back() {
     let mut table = table();
     table.note_entry(leaving(upstream("a", "app")));
-    table.note_away();
+    table.note_unavailable();
     table.note_read(Moment(20_000));
 
     let change = table.note_removed(&id("a"), Moment(20_001));
@@ -185,8 +185,8 @@
 fn whole_list_does_not_undo_what_a_peer_has_told_of_later_records() {
     // Guards against a list that took long to read and is older than what is known.
     let mut table = table();
-    assert!(table.order().admit_told("a", ListRevision(12)));
-    assert!(table.order().admit_told("c", ListRevision(13)));
+    assert!(table.order().admit_from_peer("a", ListRevision(12)));
+    assert!(table.order().admit_from_peer("c", ListRevision(13)));
     let listed_late = UpstreamEntry { revision: ListRevision(11), ..upstream("d", "app") };
 
     let entries = vec![upstream("b", "app"), upstream("c", "app"), listed_late];
@@ -194,7 +194,7 @@
 
     assert_eq!(changes, [(id("d"), ListChange::Added)]);
     assert_eq!(serving(&table), ["a", "b", "d"]);
-    assert!(!table.order().admit_told("d", ListRevision(10)));
+    assert!(!table.order().admit_from_peer("d", ListRevision(10)));
 }
 
 #[test]
@@ -202,10 +202,10 @@
     // Guards against names that pile up at a daemon that never needs to read.
     let mut table = table();
     for revision in 1..=20_000 {
-        assert!(table.order().admit_told(&format!("u{revision}"), ListRevision(revision)));
+        assert!(table.order().admit_from_peer(&format!("u{revision}"), ListRevision(revision)));
     }
 
-    assert!(!table.order().admit_told("u1", ListRevision(1)));
-    assert!(!table.order().admit_told("u20000", ListRevision(19_999)));
-    assert!(table.order().admit_told("u1", ListRevision(20_001)));
+    assert!(!table.order().admit_from_peer("u1", ListRevision(1)));
+    assert!(!table.order().admit_from_peer("u20000", ListRevision(19_999)));
+    assert!(table.order().admit_from_peer("u1", ListRevision(20_001)));
 }
--- a/crates/guava-serve/tests/weights.rs
+++ b/crates/guava-serve/tests/weights.rs
@@ -5,11 +5,11 @@
 mod support;
 
 use guava_serve::{
-    RolloutEngine, ServeParts, UpstreamTable, VersionLimits, VersionRollout, VersionTargets,
-    VersionUse, WeightVersion, age_at_start, loads_at_once, next_orders, useless_salt,
+    RolloutEngine, ServeContext, UpstreamTable, VersionLimits, VersionRollout, VersionTargets,
+    VersionUse, WeightVersion, age_at_start, is_salt_unreferenced, loads_at_once, next_orders,
 };
 use guava_types::Moment;
-use support::{engine, id, model, serve_parts};
+use support::{engine, id, model, serve_context};
 use yare::parameterized;
 
 const LIMIT_MS: u64 = 10_000;
@@ -57,9 +57,9 @@
     // Cause: the daemon counted from its own start.
     let mut targets = targets();
 
-    let is_news = targets.offer(&model(), WeightVersion(2), Moment(95_000));
+    let is_change = targets.offer(&model(), WeightVersion(2), Moment(95_000));
 
-    assert!(!is_news);
+    assert!(!is_change);
     let verdict = targets.judge(&model(), WeightVersion(1), LIMITS, Moment(104_000));
     assert_eq!(verdict, VersionUse::Forbidden);
 }
@@ -112,8 +112,8 @@
     assert_eq!(next_orders(&engines, Moment(6_000)), [id("e")]);
 }
 
-fn parts_with_engines(versions: &[(&str, u64)]) -> ServeParts {
-    let parts = serve_parts("d1");
+fn parts_with_engines(versions: &[(&str, u64)]) -> ServeContext {
+    let parts = serve_context("d1");
     for (name, version) in versions {
         parts.upstreams.borrow_mut().note_entry(engine(name, *version));
     }
@@ -167,9 +167,9 @@
     upstreams.note_entry(engine("a", 2));
     upstreams.note_entry(engine("b", oldest));
 
-    let is_useless = useless_salt("m0/1", &upstreams, &targets(), Moment(at));
+    let is_unreferenced = is_salt_unreferenced("m0/1", &upstreams, &targets(), Moment(at));
 
-    assert_eq!(is_useless, expected);
+    assert_eq!(is_unreferenced, expected);
 }
 
 #[test]
--- a/crates/guava-standins/src/said_words.rs
+++ b/crates/guava-standins/src/announced_headers.rs
@@ -29,40 +29,43 @@
 }
 
 #[derive(Clone, Default)]
-struct WordState {
+struct AnnouncementState {
     said: Shared<SaidWords>,
     since: Shared<Option<Instant>>,
     received: Shared<Vec<u64>>,
 }
 
-async fn set_words(State(state): State<WordState>, Json(words): Json<SaidWords>) {
-    *state.said.lock() = words;
+async fn set_announcements(
+    State(state): State<AnnouncementState>,
+    Json(announcements): Json<SaidWords>,
+) {
+    *state.said.lock() = announcements;
     *state.since.lock() = Some(Instant::now());
     state.received.lock().clear();
 }
 
-async fn received(State(state): State<WordState>) -> Json<Vec<u64>> {
+async fn received(State(state): State<AnnouncementState>) -> Json<Vec<u64>> {
     Json(state.received.lock().clone())
 }
 
-async fn say(State(state): State<WordState>, request: Request, next: Next) -> Response {
+async fn say(State(state): State<AnnouncementState>, request: Request, next: Next) -> Response {
     if NO_WORK.contains(&request.uri().path()) {
         return next.run(request).await;
     }
-    let words = state.said.lock().clone();
+    let announcements = state.said.lock().clone();
     if let Some(since) = *state.since.lock() {
         let millis = u64::try_from(since.elapsed().as_millis()).unwrap_or(u64::MAX);
         state.received.lock().push(millis);
     }
-    let mut response = if words.rest.is_empty() {
+    let mut response = if announcements.rest.is_empty() {
         next.run(request).await
     } else {
         StatusCode::SERVICE_UNAVAILABLE.into_response()
     };
     let headers = response.headers_mut();
-    add(headers, "upstream-limit", &words.limit);
-    add(headers, "upstream-leaving", if words.leaving { "1" } else { "" });
-    add(headers, "retry-after", &words.rest);
+    add(headers, "upstream-limit", &announcements.limit);
+    add(headers, "upstream-leaving", if announcements.leaving { "1" } else { "" });
+    add(headers, "retry-after", &announcements.rest);
     response
 }
 
@@ -74,7 +77,8 @@
 
 /// The same server, which says of itself what it is told to.
 pub fn with_words(router: Router) -> Router {
-    let state = WordState::default();
-    let own = Router::new().route("/words", post(set_words)).route("/received", get(received));
+    let state = AnnouncementState::default();
+    let own =
+        Router::new().route("/words", post(set_announcements)).route("/received", get(received));
     own.with_state(state.clone()).fallback_service(router).layer(from_fn_with_state(state, say))
 }
--- a/crates/guava-standins/src/engine_server.rs
+++ b/crates/guava-standins/src/engine_server.rs
@@ -1,11 +1,11 @@
 //! A model engine: continuous batching, a limited prefix cache, resumable streams, KV export and
 //! import, late and gapped cache events, lagging reports, orders with fencing numbers.
 
+use crate::announced_headers::with_words;
 use crate::engine_cache::EngineCache;
 use crate::engine_faults::EngineFaults;
 use crate::engine_stream::{Run, RunBuffer, stream_run};
 use crate::process_end::ends_under;
-use crate::said_words::with_words;
 use crate::serve::Shared;
 use axum::body::Bytes;
 use axum::extract::{DefaultBodyLimit, Path, Query, State};
--- a/crates/guava-standins/src/harness.rs
+++ b/crates/guava-standins/src/harness.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 /// How long a condition may take before a test gives up; generous, for a busy machine.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 const FIRST_PORT: u16 = 10_000;
 const PORT_SPAN: u16 = 20_000;
@@ -59,7 +59,7 @@
 pub fn wait_until(what: &str, mut is_met: impl FnMut() -> bool) {
     let started = Instant::now();
     while !is_met() {
-        if started.elapsed() > PATIENCE {
+        if started.elapsed() > WAIT_TIMEOUT {
             panic!("gave up waiting until {what}");
         }
         sleep(Duration::from_millis(20));
--- a/crates/guava-standins/src/lib.rs
+++ b/crates/guava-standins/src/lib.rs
@@ -4,6 +4,7 @@
 //! it: late and gapped events, lagging reports, lost answers, outages. `POST /fault` on each sets
 //! what goes wrong; `GET /stats` tells what really happened there.
 
+pub mod announced_headers;
 pub mod baseline;
 pub mod caller;
 pub mod compare;
@@ -22,7 +23,6 @@
 pub mod overhead;
 pub mod process_cost;
 mod process_end;
-pub mod said_words;
 pub mod serve;
 pub mod service_server;
 pub mod slopes;
--- a/crates/guava-standins/src/service_server.rs
+++ b/crates/guava-standins/src/service_server.rs
@@ -1,7 +1,7 @@
 //! A plain service whose calls may not all be repeated: it counts its runs by customer and key.
 
+use crate::announced_headers::with_words;
 use crate::process_end::ends_under;
-use crate::said_words::with_words;
 use crate::serve::Shared;
 use axum::body::{Body, Bytes};
 use axum::extract::State;
--- a/crates/guava-standins/src/workload.rs
+++ b/crates/guava-standins/src/workload.rs
@@ -76,8 +76,8 @@
 const SMALL_RATE: f64 = 4.0;
 
 fn text(rng: &mut ChaCha8Rng, tokens: usize) -> String {
-    let words = (0..tokens).map(|_| format!("{:03x} ", rng.random_range(0..4096_u32)));
-    words.collect()
+    let announcements = (0..tokens).map(|_| format!("{:03x} ", rng.random_range(0..4096_u32)));
+    announcements.collect()
 }
 
 /// Arrivals at a rate, with exponential gaps.
--- a/crates/guava-state/src/eviction.rs
+++ b/crates/guava-state/src/eviction.rs
@@ -16,13 +16,13 @@
 }
 
 impl EvictionWatch {
-    /// Members to evict now. `turn_ms` delays this daemon a little: another one's record is then
+    /// Members to evict now. `stagger_ms` delays this daemon a little: another one's record is then
     /// usually read before this one writes its own.
     pub fn due(
         &mut self,
         silent: &[Incarnation],
         reaches_majority: bool,
-        turn_ms: u64,
+        stagger_ms: u64,
         now: Moment,
     ) -> Vec<Incarnation> {
         self.silent_since.retain(|member, _| silent.contains(member));
@@ -32,7 +32,7 @@
         if !reaches_majority {
             return Vec::new();
         }
-        let is_over = |since: &Moment| now.millis_since(*since) > EVICT_AFTER_MS + turn_ms;
+        let is_over = |since: &Moment| now.millis_since(*since) > EVICT_AFTER_MS + stagger_ms;
         let due: Vec<Incarnation> = self
             .silent_since
             .iter()
--- a/crates/guava-state/src/freshness.rs
+++ b/crates/guava-state/src/freshness.rs
@@ -13,7 +13,7 @@
 
 /// Somebody read the log to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LogSight {
+pub struct LogObservation {
     /// The end: the first offset not yet written.
     pub end: Offset,
     /// When, on the clock of the daemon that holds this value.
@@ -22,13 +22,13 @@
 
 /// What is known of a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PeerSight {
+pub struct PeerObservation {
     /// Which.
     pub incarnation: Incarnation,
     /// When it was last known to be alive.
     pub heard: Moment,
     /// Its last sight of the log's end.
-    pub log: Option<LogSight>,
+    pub log: Option<LogObservation>,
 }
 
 /// What the rule judges by.
@@ -46,9 +46,9 @@
     /// peers would else be stale from each new record until it has fetched it.
     pub confirmed: Option<Moment>,
     /// This daemon's own sight of the log.
-    pub own: Option<LogSight>,
+    pub own: Option<LogObservation>,
     /// Peers, on the roster or not.
-    pub peers: &'a [PeerSight],
+    pub peers: &'a [PeerObservation],
     /// The daemons that the log counts as members.
     pub roster: &'a [Incarnation],
 }
@@ -59,7 +59,7 @@
     /// Everything up to a recent end of the log is applied.
     LogSeen,
     /// The log is out for a majority, which this daemon is in touch with.
-    MajorityHeard,
+    MajorityReachable,
     /// Newer configuration may be in force elsewhere.
     Stale,
 }
@@ -114,7 +114,7 @@
         if self.sees_log() {
             FreshnessVerdict::LogSeen
         } else if self.reaches_majority() && !self.newer_is_known() {
-            FreshnessVerdict::MajorityHeard
+            FreshnessVerdict::MajorityReachable
         } else {
             FreshnessVerdict::Stale
         }
--- a/crates/guava-state/src/lib.rs
+++ b/crates/guava-state/src/lib.rs
@@ -13,7 +13,9 @@
 mod snapshot;
 
 pub use eviction::{EVICT_AFTER_MS, EvictionWatch};
-pub use freshness::{FRESH_FOR_MS, FreshnessInput, FreshnessVerdict, LogSight, PeerSight};
+pub use freshness::{
+    FRESH_FOR_MS, FreshnessInput, FreshnessVerdict, LogObservation, PeerObservation,
+};
 pub use intents::{HeldIntent, IntentTable, IntentVerdict};
 pub use lease::{LeaseEntry, LeaseWatch, clock_margin_ms};
 pub use objects::{
--- a/crates/guava-state/tests/freshness.rs
+++ b/crates/guava-state/tests/freshness.rs
@@ -1,22 +1,25 @@
 //! The freshness rule, case by case.
 
-use guava_state::{FRESH_FOR_MS, FreshnessInput, FreshnessVerdict, LogSight, PeerSight};
+use guava_state::{
+    FRESH_FOR_MS, FreshnessInput, FreshnessVerdict, LogObservation, PeerObservation,
+};
 use guava_types::{Incarnation, Moment, Offset};
 use yare::parameterized;
 
 const NOW: Moment = Moment(100_000);
 
-fn peer(id: u128, age_ms: u64, log: Option<(u64, u64)>) -> PeerSight {
-    PeerSight {
+fn peer(id: u128, age_ms: u64, log: Option<(u64, u64)>) -> PeerObservation {
+    PeerObservation {
         incarnation: Incarnation(id),
         heard: NOW.minus_millis(age_ms),
-        log: log.map(|(end, age)| LogSight { end: Offset(end), seen: NOW.minus_millis(age) }),
+        log: log.map(|(end, age)| LogObservation { end: Offset(end), seen: NOW.minus_millis(age) }),
     }
 }
 
-fn judge(own: Option<(u64, u64)>, peers: &[PeerSight], members: u128) -> FreshnessVerdict {
+fn judge(own: Option<(u64, u64)>, peers: &[PeerObservation], members: u128) -> FreshnessVerdict {
     let roster: Vec<Incarnation> = (1..=members).map(Incarnation).collect();
-    let own = own.map(|(end, age)| LogSight { end: Offset(end), seen: NOW.minus_millis(age) });
+    let own =
+        own.map(|(end, age)| LogObservation { end: Offset(end), seen: NOW.minus_millis(age) });
     let input = FreshnessInput {
         now: NOW,
         me: Incarnation(1),
@@ -60,7 +63,7 @@
     peer_is_ahead = { None, vec![peer(2, 100, Some((11, 200)))], 5, FreshnessVerdict::Stale },
     majority_in_outage = {
         Some((10, 60_000)), vec![peer(2, 100, None), peer(3, 100, None)], 5,
-        FreshnessVerdict::MajorityHeard
+        FreshnessVerdict::MajorityReachable
     },
     majority_that_knows_more = {
         None, vec![peer(2, 100, Some((12, 60_000))), peer(3, 100, None)], 5,
@@ -77,7 +80,7 @@
 )]
 fn verdict(
     own: Option<(u64, u64)>,
-    peers: Vec<PeerSight>,
+    peers: Vec<PeerObservation>,
     members: u128,
     expected: FreshnessVerdict,
 ) {
--- a/crates/guava-types/src/keys.rs
+++ b/crates/guava-types/src/keys.rs
@@ -32,7 +32,7 @@
     /// The only incarnation that dispatches it.
     pub incarnation: Incarnation,
     /// When it was minted, on that incarnation's clock.
-    pub minted: Moment,
+    pub issued: Moment,
     /// Tells keys of one moment apart.
     pub nonce: u64,
 }
@@ -40,7 +40,7 @@
 impl PinnedKey {
     /// The end of the key's window on its incarnation's clock.
     pub fn window_end(&self) -> Deadline {
-        Deadline::after(self.minted, WINDOW_MS)
+        Deadline::after(self.issued, WINDOW_MS)
     }
 }
 
@@ -57,7 +57,7 @@
 
 impl CallerKey {
     /// The wall time at which a logged key was minted; nothing for a pinned key.
-    pub fn minted_wall(&self) -> Option<WallTime> {
+    pub fn issued_wall(&self) -> Option<WallTime> {
         let Self::Logged(uuid) = self else { return None };
         let (seconds, nanos) = uuid.get_timestamp()?.to_unix();
         Some(WallTime(seconds.saturating_mul(1000).saturating_add(u64::from(nanos) / 1_000_000)))
@@ -65,7 +65,7 @@
 
     /// The wall time at which a logged key's window ends; nothing for a pinned key.
     pub fn window_end_wall(&self) -> Option<WallTime> {
-        self.minted_wall().map(|minted| WallTime(minted.0.saturating_add(WINDOW_MS)))
+        self.issued_wall().map(|issued| WallTime(issued.0.saturating_add(WINDOW_MS)))
     }
 }
 
@@ -77,7 +77,7 @@
                 write!(
                     out,
                     "{PINNED_PREFIX}{}-{:x}-{:016x}",
-                    key.incarnation, key.minted.0, key.nonce
+                    key.incarnation, key.issued.0, key.nonce
                 )
             }
         }
@@ -87,9 +87,9 @@
 fn parse_pinned(text: &str) -> Option<PinnedKey> {
     let mut parts = text.split('-');
     let incarnation = parts.next()?.parse().ok()?;
-    let minted = Moment(u64::from_str_radix(parts.next()?, 16).ok()?);
+    let issued = Moment(u64::from_str_radix(parts.next()?, 16).ok()?);
     let nonce = u64::from_str_radix(parts.next()?, 16).ok()?;
-    parts.next().is_none().then_some(PinnedKey { incarnation, minted, nonce })
+    parts.next().is_none().then_some(PinnedKey { incarnation, issued, nonce })
 }
 
 impl FromStr for CallerKey {
--- a/crates/guava-types/tests/keys.rs
+++ b/crates/guava-types/tests/keys.rs
@@ -13,16 +13,16 @@
 fn logged_key_tells_its_window() {
     let key: CallerKey = LOGGED.parse().unwrap();
 
-    let minted = key.minted_wall().unwrap();
+    let issued = key.issued_wall().unwrap();
     let end = key.window_end_wall().unwrap();
 
-    assert_eq!(minted.0, 0x018f_4e3c_8a70);
-    assert_eq!(end.0 - minted.0, 3_600_000);
+    assert_eq!(issued.0, 0x018f_4e3c_8a70);
+    assert_eq!(end.0 - issued.0, 3_600_000);
 }
 
 #[test]
 fn pinned_key_reads_back() {
-    let pinned = PinnedKey { incarnation: Incarnation(7), minted: Moment(1_234), nonce: 99 };
+    let pinned = PinnedKey { incarnation: Incarnation(7), issued: Moment(1_234), nonce: 99 };
     let key = CallerKey::Pinned(pinned);
 
     let back: CallerKey = key.to_string().parse().unwrap();
--- a/crates/guavatiller/tests/at_most_once.rs
+++ b/crates/guavatiller/tests/at_most_once.rs
@@ -267,8 +267,8 @@
 fn pinned_key(deployment: &Deployment, index: usize) -> String {
     let caller = guava_standins::caller::Caller::of("acme");
     let address = deployment.daemons[index].callers;
-    let minted = caller.send(address, "POST".parse().unwrap(), "/v1/keys", "");
-    let answer = guava_standins::deployment::block_on(minted).unwrap().unwrap();
+    let issued = caller.send(address, "POST".parse().unwrap(), "/v1/keys", "");
+    let answer = guava_standins::deployment::block_on(issued).unwrap().unwrap();
     let body: serde_json::Value = serde_json::from_str(&answer.body).unwrap();
     body["key"].as_str().unwrap().to_owned()
 }
--- a/crates/guavatiller/tests/platform.rs
+++ b/crates/guavatiller/tests/platform.rs
@@ -372,9 +372,9 @@
     let mut deployment = PlatformDeployment::start(program, folder, &SERVERS);
     let long = "x".repeat(4_000);
     for topic in ["keyed.servers", "keyed.op", "keyed.members"] {
-        deployment.store.list_odd(topic, serde_json::json!({ "key": "odd" }));
-        deployment.store.list_odd(topic, serde_json::json!({ "key": 7, "value": "" }));
-        deployment.store.list_odd(topic, serde_json::json!({ "key": "odd", "value": "%%" }));
+        deployment.store.list_malformed(topic, serde_json::json!({ "key": "odd" }));
+        deployment.store.list_malformed(topic, serde_json::json!({ "key": 7, "value": "" }));
+        deployment.store.list_malformed(topic, serde_json::json!({ "key": "odd", "value": "%%" }));
         deployment.store.put(topic, "version/odd", &serde_json::json!([long]).to_string());
     }
     let daemon = deployment.daemon().unwrap();
--- a/crates/guavatiller/tests/poison_calls.rs
+++ b/crates/guavatiller/tests/poison_calls.rs
@@ -11,7 +11,7 @@
 use support::{deploy, fresh_key, set_fault, try_call};
 
 /// How the request that ends its upstreams begins.
-const POISON: &str = "poison";
+const CRASHING: &str = "poison";
 /// Time within which all daemons must know of such a request after the third end.
 const KNOWN: Duration = Duration::from_secs(3);
 /// Sends of it at most after that time.
@@ -80,7 +80,7 @@
     }
 
     fn make_mortal(&self, name: &str) {
-        set_fault(&self.deployment, name, &json!({ "ends_on": POISON }));
+        set_fault(&self.deployment, name, &json!({ "ends_on": CRASHING }));
     }
 
     /// Starts again what has ended.
@@ -105,7 +105,7 @@
     fn ends_within(&mut self, time: Duration) -> usize {
         let (until, before) = (Instant::now() + time, self.ends);
         while Instant::now() < until {
-            self.send(POISON);
+            self.send(CRASHING);
             std::thread::sleep(PAUSE);
             self.tend();
         }
@@ -130,7 +130,7 @@
 
     assert!(ends >= 3, "{ends}");
     assert!(later <= MOST_LATER, "{later} more ended after {ends}");
-    assert_eq!(fleet.send(POISON), Some(503));
+    assert_eq!(fleet.send(CRASHING), Some(503));
     assert_eq!(fleet.send("healthy"), Some(200));
 }
 
--- a/crates/guavatiller/tests/poison_requests.rs
+++ b/crates/guavatiller/tests/poison_requests.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
 use guava_platform_standins::{
-    DaemonProcess, MortalServer, PlainAnswer, PlatformDeployment, ServerKind, ServiceNames, ask,
+    CrashableServer, DaemonProcess, PlainAnswer, PlatformDeployment, ServerKind, ServiceNames, ask,
     request_to, send,
 };
 use guava_standins::harness::wait_until;
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 /// Body of the request that ends its upstreams.
-const POISON: &str = "poison";
+const CRASHING: &str = "poison";
 /// Time within which all daemons must know of such a request after the third end.
 const KNOWN: Duration = Duration::from_secs(3);
 /// Sends of it at most after that time.
@@ -24,7 +24,7 @@
 struct Fleet {
     deployment: PlatformDeployment,
     daemons: Vec<DaemonProcess>,
-    servers: Vec<MortalServer>,
+    servers: Vec<CrashableServer>,
     sent: usize,
 }
 
@@ -34,7 +34,7 @@
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
         let mut deployment = PlatformDeployment::start(program, folder, &[]);
         let servers = (0..servers)
-            .map(|number| deployment.start_mortal(&format!("m{number}"), kind, POISON))
+            .map(|number| deployment.start_crashable(&format!("m{number}"), kind, CRASHING))
             .collect();
         let daemons: Vec<DaemonProcess> =
             (0..daemons).map(|_| deployment.daemon().unwrap()).collect();
@@ -64,15 +64,15 @@
         let until = Instant::now() + time;
         while Instant::now() < until {
             let daemon = self.sent % self.daemons.len();
-            self.send(daemon, path, POISON);
+            self.send(daemon, path, CRASHING);
             sleep(PAUSE);
         }
     }
 
     /// How often upstreams began to run the fatal request.
     fn poison_runs(&self) -> usize {
-        let runs = self.servers.iter().flat_map(MortalServer::runs);
-        runs.filter(|(id, _)| id.starts_with(POISON)).count()
+        let runs = self.servers.iter().flat_map(CrashableServer::runs);
+        runs.filter(|(id, _)| id.starts_with(CRASHING)).count()
     }
 
     fn ends(&self) -> usize {
@@ -107,7 +107,7 @@
 
     assert!(ends >= 3, "{ends}");
     assert!(later <= MOST_LATER, "ran {later} times more after {ends} ends");
-    let refused = fleet.send(0, path, POISON).unwrap();
+    let refused = fleet.send(0, path, CRASHING).unwrap();
     assert_eq!(refused.status, 503);
     assert!(refused.header("retry-after").is_some());
     let other = fleet.send(1, path, "healthy").unwrap();
@@ -153,7 +153,7 @@
     let mut fleet = Fleet::start(2, 2, ServerKind::Engine);
     let until = Instant::now() + KNOWN;
     while Instant::now() < until {
-        let poison = request_to("POST", "/draft/2f", "poison-x", ServiceNames::KEY, POISON);
+        let poison = request_to("POST", "/draft/2f", "poison-x", ServiceNames::KEY, CRASHING);
         let callers = fleet.daemons[0].callers;
         let beside = std::thread::spawn(move || send(callers, &poison));
         fleet.send(1, "/draft/2f", "beside");
@@ -178,7 +178,7 @@
         let servers = fleet.servers.clone();
         let ending = std::thread::spawn(move || {
             sleep(Duration::from_millis(30));
-            servers.iter().for_each(MortalServer::end);
+            servers.iter().for_each(CrashableServer::end);
         });
         fleet.send(round % 2, "/draft/2f", "polled");
         ending.join().unwrap();
--- a/crates/guavatiller/tests/two_faults.rs
+++ b/crates/guavatiller/tests/two_faults.rs
@@ -58,9 +58,9 @@
     set_fault(&deployment, "log", &json!({ "outage": true }));
     let caller = Caller::of("acme");
     let address = deployment.daemons[0].callers;
-    let minted = caller.send(address, "POST".parse().unwrap(), "/v1/keys", "");
-    let minted = block_on(minted).unwrap().unwrap();
-    let body: serde_json::Value = serde_json::from_str(&minted.body).unwrap();
+    let issued = caller.send(address, "POST".parse().unwrap(), "/v1/keys", "");
+    let issued = block_on(issued).unwrap().unwrap();
+    let body: serde_json::Value = serde_json::from_str(&issued.body).unwrap();
     let key = body["key"].as_str().unwrap().to_owned();
     let first = call(address, &submission(&key, Some(1)));
     deployment.kill("entry-0");
--- a/crates/guavatiller/tests/upstream_words.rs
+++ b/crates/guavatiller/tests/upstream_words.rs
@@ -3,8 +3,8 @@
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
 use guava_platform_standins::{
-    DaemonProcess, PlainAnswer, PlatformDeployment, ServerArrival, ServerKind, ServerWords,
-    ServiceNames, ask, most_in_rest, most_over_limit, request_to, send,
+    DaemonProcess, PlainAnswer, PlatformDeployment, ServerAnnouncements, ServerArrival, ServerKind,
+    ServiceNames, ask, most_during_backoff, most_over_limit, request_to, send,
 };
 use guava_standins::harness::wait_until;
 use std::path::Path;
@@ -45,8 +45,8 @@
         Self { deployment, daemons }
     }
 
-    fn say(&self, server: &str, words: ServerWords) {
-        self.deployment.servers[server].set_words(words);
+    fn say(&self, server: &str, announcements: ServerAnnouncements) {
+        self.deployment.servers[server].set_announcements(announcements);
     }
 
     /// The upstream that got most: prompts go where their parts lie.
@@ -102,7 +102,10 @@
     fleet.load(path, Duration::from_secs(1));
     let server = fleet.busiest();
     let named = Instant::now();
-    fleet.say(server, ServerWords { limit: Some("2".into()), ..ServerWords::default() });
+    fleet.say(
+        server,
+        ServerAnnouncements { limit: Some("2".into()), ..ServerAnnouncements::default() },
+    );
 
     let statuses = fleet.load(path, KNOWN + Duration::from_secs(6));
 
@@ -126,7 +129,7 @@
     fleet.load(path, Duration::from_secs(1));
     let server = fleet.busiest();
     let said = Instant::now();
-    fleet.say(server, ServerWords { is_leaving: true, ..ServerWords::default() });
+    fleet.say(server, ServerAnnouncements { is_leaving: true, ..ServerAnnouncements::default() });
 
     // Its heartbeat goes on to call it ready.
     let statuses: Vec<u16> = (0..4)
@@ -151,7 +154,10 @@
     let fleet = Fleet::start(3, kind);
     fleet.load(path, Duration::from_secs(1));
     let server = fleet.busiest();
-    fleet.say(server, ServerWords { rest: Some("2".into()), ..ServerWords::default() });
+    fleet.say(
+        server,
+        ServerAnnouncements { rest: Some("2".into()), ..ServerAnnouncements::default() },
+    );
 
     let statuses = fleet.load(path, Duration::from_secs(5));
 
@@ -160,7 +166,11 @@
         let own = format!("{daemon}-");
         let arrivals: Vec<&ServerArrival> =
             received.iter().filter(|arrival| arrival.id.starts_with(&own)).collect();
-        assert!(most_in_rest(&arrivals) <= MOST_IN_REST, "{}", most_in_rest(&arrivals));
+        assert!(
+            most_during_backoff(&arrivals) <= MOST_IN_REST,
+            "{}",
+            most_during_backoff(&arrivals)
+        );
     }
     assert!(statuses.iter().all(|status| *status == 200), "{statuses:?}");
 }
