--- a/crates/guava-serve/src/members/peer_exchange.rs
+++ b/crates/guava-serve/src/members/peer_exchange.rs
@@ -53,34 +53,34 @@
 }
 
 /// What to tell the peers now.
-pub fn compose_message(parts: &ServeContext, news: OwnSummary, now: Moment) -> PeerMessage {
-    let work = parts.work.borrow();
+pub fn compose_message(context: &ServeContext, news: OwnSummary, now: Moment) -> PeerMessage {
+    let work = context.work.borrow();
     let shares = work.own_shares().map(|(id, share)| (id.clone(), share)).collect();
-    let reads = parts.reads.borrow();
-    let listed = parts.list_changes.borrow_mut().told(now);
-    let announcements = summary_announcements(parts, now);
+    let reads = context.reads.borrow();
+    let listed = context.list_changes.borrow_mut().told(now);
+    let announcements = summary_announcements(context, now);
     // A digest without all changes behind it would make everybody read the list.
     let is_list_told = listed.len() <= MOST_TOLD;
     PeerMessage {
         note: news.note,
         shares,
-        sent: std::mem::take(&mut parts.sent_prompts.borrow_mut()),
+        sent: std::mem::take(&mut context.sent_prompts.borrow_mut()),
         loading: news.loading,
-        targets: published(parts, now),
-        stores: store_updates(parts, &news.followed, news.number),
+        targets: published(context, now),
+        stores: store_updates(context, &news.followed, news.number),
         operator: reads.operator.own(),
         published_since: None,
         list: reads.list.own().filter(|_| is_list_told),
         loaded: news.loaded,
-        clock_ms: parts.upstream_clock_in(0, now),
+        clock_ms: context.upstream_clock_in(0, now),
         listed: if is_list_told { listed } else { Vec::new() },
-        slow_links: parts.links.borrow().slow_links(now),
-        speeds: parts.speeds.borrow_mut().told(now),
-        ended: parts.crash_gossip.borrow_mut().repeated(now),
-        stops: told_stops(parts, now),
-        cleared: told_cleared(parts),
-        knows_quarantines: tells_all_stops(parts, now),
-        drains: parts.drains.borrow().notices(),
+        slow_links: context.links.borrow().slow_links(now),
+        speeds: context.speeds.borrow_mut().told(now),
+        ended: context.crash_gossip.borrow_mut().repeated(now),
+        stops: told_stops(context, now),
+        cleared: told_cleared(context),
+        knows_quarantines: tells_all_stops(context, now),
+        drains: context.drains.borrow().notices(),
         limits: announcements.limits,
         leaving: announcements.leaving,
         is_immediate: false,
@@ -90,8 +90,8 @@
 }
 
 /// Stopped requests as told: nearly always none. Where there are more than fit, others each time.
-fn told_stops(parts: &ServeContext, now: Moment) -> Vec<QuarantineNotice> {
-    let mut stops: Vec<QuarantineNotice> = parts.ledger.borrow().stops(now).collect();
+fn told_stops(context: &ServeContext, now: Moment) -> Vec<QuarantineNotice> {
+    let mut stops: Vec<QuarantineNotice> = context.ledger.borrow().stops(now).collect();
     if stops.len() > MOST_STOPS {
         let from = rand::random::<u64>() as usize % stops.len();
         stops.rotate_left(from);
@@ -101,20 +101,21 @@
 }
 
 /// Whether a message holds all that the records of stopped requests say.
-fn tells_all_stops(parts: &ServeContext, now: Moment) -> bool {
-    parts.quarantine_sync.get().is_known && parts.ledger.borrow().stops(now).count() <= MOST_STOPS
+fn tells_all_stops(context: &ServeContext, now: Moment) -> bool {
+    context.quarantine_sync.get().is_known
+        && context.ledger.borrow().stops(now).count() <= MOST_STOPS
 }
 
-fn told_cleared(parts: &ServeContext) -> Vec<ClearNotice> {
-    parts.ledger.borrow().cleared().take(MOST_STOPS).collect()
+fn told_cleared(context: &ServeContext) -> Vec<ClearNotice> {
+    context.ledger.borrow().cleared().take(MOST_STOPS).collect()
 }
 
 /// A note on prompts that were just sent and upstreams that will load weights, if there are any.
 /// Until the next message all daemons would else take the same idle engine, and each prompt would
 /// wait for the others; or be refused by an engine that loads.
-pub fn compose_immediate(parts: &ServeContext, note: MemberDescriptor) -> Option<PeerMessage> {
-    let sent = std::mem::take(&mut *parts.just_sent.borrow_mut());
-    let loading = std::mem::take(&mut *parts.just_loading.borrow_mut());
+pub fn compose_immediate(context: &ServeContext, note: MemberDescriptor) -> Option<PeerMessage> {
+    let sent = std::mem::take(&mut *context.just_sent.borrow_mut());
+    let loading = std::mem::take(&mut *context.just_loading.borrow_mut());
     if sent.is_empty() && loading.is_empty() {
         return None;
     }
@@ -124,16 +125,16 @@
 /// Notes on upstreams that just ended, with the requests that are stopped or cleared for it. Told a
 /// second later, a request that ends what runs it would have been sent to some upstreams more.
 pub fn compose_crash_notices(
-    parts: &ServeContext,
+    context: &ServeContext,
     note: &MemberDescriptor,
     now: Moment,
 ) -> Vec<PeerMessage> {
-    let ends = parts.crash_gossip.borrow_mut().take_fresh();
+    let ends = context.crash_gossip.borrow_mut().take_fresh();
     let message =
         |ended: Vec<CrashNotice>| PeerMessage { ended, ..PeerMessage::empty(note.clone()) };
     let mut messages: Vec<PeerMessage> = ends.into_iter().map(message).collect();
-    if parts.verdicts_due.take() {
-        let (stops, cleared) = (told_stops(parts, now), told_cleared(parts));
+    if context.verdicts_due.take() {
+        let (stops, cleared) = (told_stops(context, now), told_cleared(context));
         let last = messages.pop().unwrap_or_else(|| message(Vec::new()));
         messages.push(PeerMessage { stops, cleared, ..last });
     }
@@ -141,8 +142,11 @@
 }
 
 /// A note on what upstreams have just said of themselves, if there is any.
-pub fn compose_announcements(parts: &ServeContext, note: &MemberDescriptor) -> Option<PeerMessage> {
-    let AnnouncementBatch { limits, leaving } = urgent_announcements(parts);
+pub fn compose_announcements(
+    context: &ServeContext,
+    note: &MemberDescriptor,
+) -> Option<PeerMessage> {
+    let AnnouncementBatch { limits, leaving } = urgent_announcements(context);
     let is_due = !limits.is_empty() || !leaving.is_empty();
     is_due.then(|| PeerMessage { limits, leaving, ..PeerMessage::empty(note.clone()) })
 }
@@ -151,15 +155,15 @@
 /// the list changed much. Told to the daemons of all data centres directly, since a relay that is
 /// suspended would pass an old read on as a new one.
 pub fn compose_reads(
-    parts: &ServeContext,
+    context: &ServeContext,
     note: &MemberDescriptor,
     now: Moment,
 ) -> Vec<PeerMessage> {
-    let turn = parts.members.borrow().reader_rank(&parts.identity.name, now);
+    let turn = context.members.borrow().reader_rank(&context.identity.name, now);
     if turn > STANDBYS {
         return Vec::new();
     }
-    let reads = parts.reads.borrow();
+    let reads = context.reads.borrow();
     // The reader tells its reads also when it has heard of a later one: whoever read for itself tells
     // only those near by, and all others would wait for the reader's until they read too.
     let told = |keeper: &ReadTracker| keeper.own().filter(|_| turn == 0 || keeper.is_freshest());
@@ -167,7 +171,7 @@
     if operator.is_none() && list.is_none() {
         return Vec::new();
     }
-    let listed = parts.list_changes.borrow_mut().told(now);
+    let listed = context.list_changes.borrow_mut().told(now);
     let message = |listed: &[ListedChange]| PeerMessage {
         listed: listed.to_vec(),
         ..PeerMessage::empty(note.clone())
@@ -176,8 +180,8 @@
     // The digest goes with the last of the changes that lead to it.
     let last = messages.pop().unwrap_or_else(|| message(&[]));
     let published_since = reads.published_since;
-    let targets = published(parts, now);
-    let (stops, knows_quarantines) = (told_stops(parts, now), tells_all_stops(parts, now));
+    let targets = published(context, now);
+    let (stops, knows_quarantines) = (told_stops(context, now), tells_all_stops(context, now));
     messages.push(PeerMessage {
         operator,
         published_since,
@@ -185,15 +189,15 @@
         list,
         stops,
         knows_quarantines,
-        drains: parts.drains.borrow().notices(),
+        drains: context.drains.borrow().notices(),
         ..last
     });
     messages
 }
 
 /// The newest published weights of each model, with the age of each publication.
-fn published(parts: &ServeContext, now: Moment) -> Vec<PublishedVersion> {
-    let targets = parts.targets.borrow();
+fn published(context: &ServeContext, now: Moment) -> Vec<PublishedVersion> {
+    let targets = context.targets.borrow();
     let published = targets.iter().map(|(model, target)| PublishedVersion {
         model: model.clone(),
         version: target.version,
@@ -206,19 +210,19 @@
 /// hold, one in a message. Otherwise it would know after three seconds, when whole words come next,
 /// and have the parts read again until then.
 pub fn compose_initial_sync(
-    parts: &ServeContext,
+    context: &ServeContext,
     news: &OwnSummary,
     now: Moment,
 ) -> Vec<PeerMessage> {
-    let work = parts.work.borrow();
-    let index = parts.part_index.borrow();
+    let work = context.work.borrow();
+    let index = context.part_index.borrow();
     let announcements = news.followed.iter().filter_map(|store| index.full_store_update(*store));
     let told = announcements.map(|word| PeerMessage {
         shares: work.own_shares().map(|(id, share)| (id.clone(), share)).collect(),
-        targets: published(parts, now),
-        drains: parts.drains.borrow().notices(),
+        targets: published(context, now),
+        drains: context.drains.borrow().notices(),
         stores: vec![cut_to(word, MOST_PARTS)],
-        clock_ms: parts.upstream_clock_in(0, now),
+        clock_ms: context.upstream_clock_in(0, now),
         is_immediate: false,
         ..PeerMessage::empty(news.note.clone())
     });
@@ -237,8 +241,8 @@
     word
 }
 
-fn store_updates(parts: &ServeContext, followed: &[SocketAddr], number: u64) -> Vec<StoreUpdate> {
-    let mut index = parts.part_index.borrow_mut();
+fn store_updates(context: &ServeContext, followed: &[SocketAddr], number: u64) -> Vec<StoreUpdate> {
+    let mut index = context.part_index.borrow_mut();
     let mut told = 0;
     let mut announcements = Vec::new();
     for (place, store) in followed.iter().enumerate() {
@@ -252,16 +256,16 @@
 }
 
 /// Takes a peer's message in.
-pub fn take_message(parts: &ServeContext, message: PeerMessage, now: Moment) {
+pub fn take_message(context: &ServeContext, message: PeerMessage, now: Moment) {
     let name = message.note.name.clone();
-    if name == parts.identity.name {
+    if name == context.identity.name {
         return;
     }
     let address = message.note.peer_address;
     let is_ready = message.note.is_ready;
     let data_centre = message.note.data_centre.clone();
-    let gets_immediate = parts.members.borrow().gets_immediate(&data_centre);
-    if parts.members.borrow_mut().note_from_peer(message.note, now) {
+    let gets_immediate = context.members.borrow().gets_immediate(&data_centre);
+    if context.members.borrow_mut().note_from_peer(message.note, now) {
         log_event!(
             info,
             events::MEMBER_REACHABLE,
@@ -269,62 +273,62 @@
             address = address,
             ready = is_ready
         );
-        let count = parts.members.borrow().count();
-        parts.retries.borrow_mut().note_daemons(count);
-        if data_centre == parts.identity.data_centre {
-            parts.new_peers.borrow_mut().push(address);
-            parts.message_due.notify_one();
+        let count = context.members.borrow().count();
+        context.retries.borrow_mut().note_daemons(count);
+        if data_centre == context.identity.data_centre {
+            context.new_peers.borrow_mut().push(address);
+            context.message_due.notify_one();
         }
     }
-    let silent_ms = parts.members.borrow().silent_ms(&data_centre);
+    let silent_ms = context.members.borrow().silent_ms(&data_centre);
     for id in &message.loading {
         let until = Deadline::after(now, LOADING_MS.max(silent_ms / 2));
-        parts.upstreams.borrow_mut().note_loading(id, until);
+        context.upstreams.borrow_mut().note_loading(id, until);
     }
     let spoken_of = message.sent.iter().map(|sent| &sent.engine);
     let spoken_of = spoken_of.chain(message.loaded.iter().map(|loaded| &loaded.engine));
-    spoken_of.chain(&message.loading).for_each(|id| note_start(parts, id, &name));
+    spoken_of.chain(&message.loading).for_each(|id| note_start(context, id, &name));
     for change in message.listed {
-        take_change(parts, change, ListSource::Peer(&name), now);
+        take_change(context, change, ListSource::Peer(&name), now);
     }
     for target in message.targets {
         let learned = now.minus_millis(target.age_ms);
-        take_version(parts, &target.model, target.version, learned, "peer");
+        take_version(context, &target.model, target.version, learned, "peer");
     }
     for drain in &message.drains {
-        take_drain(parts, drain, now);
+        take_drain(context, drain, now);
     }
     for limit in &message.limits {
-        take_limit(parts, limit, &name, now);
+        take_limit(context, limit, &name, now);
     }
     for upstream in &message.leaving {
-        take_leaving(parts, upstream, &name, now);
+        take_leaving(context, upstream, &name, now);
     }
     if let (Some(mark), Some(since)) = (message.operator, message.published_since) {
-        parts.reads.borrow_mut().operator.note_skipped(since, mark.state);
+        context.reads.borrow_mut().operator.note_skipped(since, mark.state);
     }
-    take_reads(parts, message.operator, message.list);
+    take_reads(context, message.operator, message.list);
     for end in &message.ended {
-        take_crash(parts, end, now);
+        take_crash(context, end, now);
     }
     for notice in message.cleared {
-        take_cleared(parts, notice, now);
+        take_cleared(context, notice, now);
     }
     for stop in message.stops {
-        take_quarantine(parts, stop, now);
+        take_quarantine(context, stop, now);
     }
     if message.knows_quarantines {
-        parts.quarantine_sync.set(QuarantineSync { is_known: true, told: now });
+        context.quarantine_sync.set(QuarantineSync { is_known: true, told: now });
     }
     if message.is_immediate {
         for sent in &message.sent {
-            let service_ms = parts.read_ms(&sent.engine, sent.waiting);
-            parts.work.borrow_mut().note_peer_sent(&name, sent, service_ms, now);
-            let mut index = parts.part_index.borrow_mut();
+            let service_ms = context.read_ms(&sent.engine, sent.waiting);
+            context.work.borrow_mut().note_peer_sent(&name, sent, service_ms, now);
+            let mut index = context.part_index.borrow_mut();
             index.note_sent(&sent.engine, &sent.parts, sent.tokens, now);
-            let stands_for = parts.members.borrow().stands_for();
+            let stands_for = context.members.borrow().stands_for();
             for transfer in &sent.transfers {
-                parts.links.borrow_mut().note(*transfer, stands_for, now);
+                context.links.borrow_mut().note(*transfer, stands_for, now);
             }
             sent.saves.iter().for_each(|save| index.note_saving(*save, now));
         }
@@ -336,35 +340,35 @@
             // Its prompts were told one by one; their sum would count what has been read by now.
             shares.values_mut().for_each(|share| share.waiting = TokenCount(0));
         }
-        parts.work.borrow_mut().note_peer(&name, shares, Deadline::after(now, silent_ms), now);
+        context.work.borrow_mut().note_peer(&name, shares, Deadline::after(now, silent_ms), now);
     }
     for sent in &message.sent {
-        parts.part_index.borrow_mut().note_sent(&sent.engine, &sent.parts, sent.tokens, now);
+        context.part_index.borrow_mut().note_sent(&sent.engine, &sent.parts, sent.tokens, now);
     }
     for loaded in &message.loaded {
-        let mut upstreams = parts.upstreams.borrow_mut();
+        let mut upstreams = context.upstreams.borrow_mut();
         upstreams.note_loading(&loaded.engine, now.into());
         upstreams.note_version(&loaded.engine, &loaded.model, loaded.version);
     }
     message
         .stores
         .into_iter()
-        .for_each(|word| parts.part_index.borrow_mut().note_store_update(word, now));
-    message.speeds.iter().for_each(|speed| parts.speeds.borrow_mut().note(speed));
+        .for_each(|word| context.part_index.borrow_mut().note_store_update(word, now));
+    message.speeds.iter().for_each(|speed| context.speeds.borrow_mut().note(speed));
     for link in message.slow_links {
-        parts.links.borrow_mut().note_from_peer(&name, link, now);
+        context.links.borrow_mut().note_from_peer(&name, link, now);
     }
-    take_clock(parts, message.clock_ms, now);
+    take_clock(context, message.clock_ms, now);
 }
 
 /// Takes in that a peer speaks of a start of an upstream: it may know before this daemon that the
 /// upstream started again. Until its entry is there, nothing more goes to the one before.
-fn note_start(parts: &ServeContext, id: &UpstreamId, source: &MemberName) {
-    let mut upstreams = parts.upstreams.borrow_mut();
+fn note_start(context: &ServeContext, id: &UpstreamId, source: &MemberName) {
+    let mut upstreams = context.upstreams.borrow_mut();
     let before = upstreams.newest_start(id.name()).and_then(|before| upstreams.entry(before));
     let address = before.map(|before| before.address);
     if upstreams.note_start(id) {
-        address.iter().for_each(|address| parts.pool.forget(*address));
+        address.iter().for_each(|address| context.pool.forget(*address));
         log_event!(
             info,
             events::LIST_CHANGED,
@@ -395,12 +399,12 @@
 
 /// Takes in a change of the list of upstreams, unless a later record of the upstream is known.
 pub fn take_change(
-    parts: &ServeContext,
+    context: &ServeContext,
     change: ListedChange,
     source: ListSource<'_>,
     now: Moment,
 ) -> ListChange {
-    let mut upstreams = parts.upstreams.borrow_mut();
+    let mut upstreams = context.upstreams.borrow_mut();
     let (name, revision) = (change.id().name(), change.revision());
     let is_change = match source {
         ListSource::Store => upstreams.order().admit_read(name, revision),
@@ -419,7 +423,7 @@
             let address = entry.address;
             let found = upstreams.note_entry(entry);
             if found == ListChange::Restarted {
-                parts.pool.forget(address);
+                context.pool.forget(address);
             }
             (id, found)
         }
@@ -437,8 +441,8 @@
     found
 }
 
-fn take_reads(parts: &ServeContext, operator: Option<ReadMark>, list: Option<ReadMark>) {
-    let mut reads = parts.reads.borrow_mut();
+fn take_reads(context: &ServeContext, operator: Option<ReadMark>, list: Option<ReadMark>) {
+    let mut reads = context.reads.borrow_mut();
     if let Some(mark) = operator {
         reads.operator.note_from_peer(mark);
     }
@@ -446,22 +450,22 @@
         reads.list.note_from_peer(mark);
     }
     if let Some(confirmed) = reads.operator.confirmed() {
-        parts.config_confirmed.set(confirmed);
+        context.config_confirmed.set(confirmed);
     }
 }
 
 /// Only daemons that follow a store hear the upstreams' clock themselves.
-fn take_clock(parts: &ServeContext, clock_ms: Option<u64>, now: Moment) {
+fn take_clock(context: &ServeContext, clock_ms: Option<u64>, now: Moment) {
     let Some(clock_ms) = clock_ms else { return };
     let is_old = |clock: UpstreamClock| now.millis_since(clock.read) > CLOCK_EXPIRY_MS;
-    if parts.upstream_clock.get().is_none_or(is_old) {
-        parts.upstream_clock.set(Some(UpstreamClock { clock_ms, read: now }));
+    if context.upstream_clock.get().is_none_or(is_old) {
+        context.upstream_clock.set(Some(UpstreamClock { clock_ms, read: now }));
     }
 }
 
 /// Takes in that a data centre is drained, or taken back.
-pub fn take_drain(parts: &ServeContext, notice: &DrainNotice, now: Moment) {
-    if parts.drains.borrow_mut().note(notice, now) {
+pub fn take_drain(context: &ServeContext, notice: &DrainNotice, now: Moment) {
+    if context.drains.borrow_mut().note(notice, now) {
         log_event!(
             info,
             events::CENTRE_DRAINED,
@@ -473,13 +477,13 @@
 
 /// Takes in that weights were published by some moment at the latest.
 pub fn take_version(
-    parts: &ServeContext,
+    context: &ServeContext,
     model: &guava_types::ModelName,
     version: crate::WeightVersion,
     learned: Moment,
     source: &str,
 ) {
-    if parts.targets.borrow_mut().offer(model, version, learned) {
+    if context.targets.borrow_mut().offer(model, version, learned) {
         log_event!(
             info,
             events::VERSION_PUBLISHED,
--- a/crates/guava-serve/src/members/peer_task.rs
+++ b/crates/guava-serve/src/members/peer_task.rs
@@ -50,21 +50,21 @@
 }
 
 /// Tells all daemons about this one, for ever.
-pub async fn send_summaries(parts: Rc<ServeContext>, socket: Rc<UdpSocket>, state: OwnState) {
+pub async fn send_summaries(context: Rc<ServeContext>, socket: Rc<UdpSocket>, state: OwnState) {
     let mut far_due = Deadline::default();
     for number in 0.. {
         let now = Moment::now();
-        let message = compose_message(&parts, own_news(&state, number, now), now);
+        let message = compose_message(&context, own_news(&state, number, now), now);
         let (is_large, near_pause_ms, far_pause_ms) = {
-            let members = parts.members.borrow();
+            let members = context.members.borrow();
             (members.is_large(), members.near_pause_ms(), members.far_pause_ms())
         };
-        send_to_all(&socket, &message, &parts, is_large).await;
+        send_to_all(&socket, &message, &context, is_large).await;
         if is_large && far_due.passed(now) {
             far_due = Deadline::after(now, far_pause_ms);
-            let relays = parts.members.borrow().relays(&parts.identity.name, number, now);
+            let relays = context.members.borrow().relays(&context.identity.name, number, now);
             let relays = relays.into_iter().map(|(_, address)| address).collect();
-            send(&socket, &message.for_relay(), &parts, relays).await;
+            send(&socket, &message.for_relay(), &context, relays).await;
         }
         sleep(Duration::from_millis(near_pause_ms)).await;
     }
@@ -86,15 +86,15 @@
 
 /// Tells the daemons of all data centres what this one reads of the platform's store, for ever: now
 /// and then, and at once where they would read themselves otherwise.
-pub async fn send_read_marks(parts: Rc<ServeContext>, socket: Rc<UdpSocket>, state: OwnState) {
+pub async fn send_read_marks(context: Rc<ServeContext>, socket: Rc<UdpSocket>, state: OwnState) {
     loop {
         let now = Moment::now();
-        for reads in compose_reads(&parts, &own_note(&state), now) {
-            send_to_all(&socket, &reads, &parts, false).await;
+        for reads in compose_reads(&context, &own_note(&state), now) {
+            send_to_all(&socket, &reads, &context, false).await;
         }
         let pause = Duration::from_millis(WORDS_PAUSE_MS);
         // Whether it is time or there is news makes no difference.
-        drop(timeout(pause, parts.reads_due.notified()).await);
+        drop(timeout(pause, context.reads_due.notified()).await);
     }
 }
 
@@ -102,105 +102,105 @@
 async fn send_to_all(
     socket: &UdpSocket,
     message: &PeerMessage,
-    parts: &ServeContext,
+    context: &ServeContext,
     only_near: bool,
 ) {
-    let addresses = parts.members.borrow().peer_addresses(only_near);
-    send(socket, message, parts, addresses).await;
+    let addresses = context.members.borrow().peer_addresses(only_near);
+    send(socket, message, context, addresses).await;
 }
 
 async fn send(
     socket: &UdpSocket,
     message: &PeerMessage,
-    parts: &ServeContext,
+    context: &ServeContext,
     addresses: Vec<SocketAddr>,
 ) {
     for bytes in datagrams(message, Moment::now()) {
-        send_datagram(socket, &bytes, parts, &addresses).await;
+        send_datagram(socket, &bytes, context, &addresses).await;
     }
 }
 
 async fn send_datagram(
     socket: &UdpSocket,
     bytes: &[u8],
-    parts: &ServeContext,
+    context: &ServeContext,
     addresses: &[SocketAddr],
 ) {
     let stale = Deadline::in_millis(STALE_MS);
     if bytes.len() > MAX_DATAGRAM_BYTES {
         let reason = format!("{} bytes, {MAX_DATAGRAM_BYTES} are taken", bytes.len());
-        note_loss(parts, MessageLoss::TooLong, &reason);
+        note_loss(context, MessageLoss::TooLong, &reason);
     }
     for address in addresses {
         if stale.passed(Moment::now()) {
-            note_loss(parts, MessageLoss::Unsent, &"sending took too long");
+            note_loss(context, MessageLoss::Unsent, &"sending took too long");
             return;
         }
         // The next message follows soon and makes up for one that can't be sent.
         if let Err(error) = socket.send_to(bytes, *address).await {
-            note_loss(parts, MessageLoss::Unsent, &error);
+            note_loss(context, MessageLoss::Unsent, &error);
         }
     }
 }
 
-fn note_loss(parts: &ServeContext, loss: MessageLoss, reason: &impl Display) {
-    parts.lost_messages.borrow_mut().note(loss, reason, &parts.metrics, Moment::now());
+fn note_loss(context: &ServeContext, loss: MessageLoss, reason: &impl Display) {
+    context.lost_messages.borrow_mut().note(loss, reason, &context.metrics, Moment::now());
 }
 
 /// Tells the daemons nearby about large prompts at once, for ever; those elsewhere of the ones that
 /// concern them.
-pub async fn send_immediate(parts: Rc<ServeContext>, socket: Rc<UdpSocket>, state: OwnState) {
+pub async fn send_immediate(context: Rc<ServeContext>, socket: Rc<UdpSocket>, state: OwnState) {
     for number in 0.. {
-        parts.message_due.notified().await;
-        greet_newcomers(&parts, &socket, &state).await;
-        let is_large = parts.members.borrow().is_large();
-        let mut notes = compose_crash_notices(&parts, &own_note(&state), Moment::now());
-        notes.extend(compose_announcements(&parts, &own_note(&state)));
+        context.message_due.notified().await;
+        greet_newcomers(&context, &socket, &state).await;
+        let is_large = context.members.borrow().is_large();
+        let mut notes = compose_crash_notices(&context, &own_note(&state), Moment::now());
+        notes.extend(compose_announcements(&context, &own_note(&state)));
         for note in notes {
-            send_to_all(&socket, &note, &parts, is_large).await;
+            send_to_all(&socket, &note, &context, is_large).await;
             if is_large {
-                tell_far(&parts, &socket, &note, number).await;
+                tell_far(&context, &socket, &note, number).await;
             }
         }
-        let Some(note) = compose_immediate(&parts, own_note(&state)) else { continue };
+        let Some(note) = compose_immediate(&context, own_note(&state)) else { continue };
         // Engines that load concern daemons everywhere.
         let only_near = is_large && note.loading.is_empty();
-        send_to_all(&socket, &note, &parts, only_near).await;
+        send_to_all(&socket, &note, &context, only_near).await;
         if only_near {
-            tell_far(&parts, &socket, &note, number).await;
+            tell_far(&context, &socket, &note, number).await;
         }
     }
 }
 
-async fn greet_newcomers(parts: &ServeContext, socket: &UdpSocket, state: &OwnState) {
-    let new_peers = std::mem::take(&mut *parts.new_peers.borrow_mut());
+async fn greet_newcomers(context: &ServeContext, socket: &UdpSocket, state: &OwnState) {
+    let new_peers = std::mem::take(&mut *context.new_peers.borrow_mut());
     if new_peers.is_empty() {
         return;
     }
     let now = Moment::now();
-    for greeting in compose_initial_sync(parts, &own_news(state, 0, now), now) {
-        send(socket, &greeting, parts, new_peers.clone()).await;
+    for greeting in compose_initial_sync(context, &own_news(state, 0, now), now) {
+        send(socket, &greeting, context, new_peers.clone()).await;
     }
 }
 
 /// Tells each other data centre, by way of a relay, of the prompts that concern it.
-async fn tell_far(parts: &ServeContext, socket: &UdpSocket, note: &PeerMessage, number: u64) {
+async fn tell_far(context: &ServeContext, socket: &UdpSocket, note: &PeerMessage, number: u64) {
     let now = Moment::now();
-    let relays = parts.members.borrow().relays(&parts.identity.name, number, now);
+    let relays = context.members.borrow().relays(&context.identity.name, number, now);
     for (data_centre, relay) in relays {
         let concerns = |sent: &SentPrompt| {
             let engine =
-                parts.upstreams.borrow().entry(&sent.engine).map(|e| e.data_centre.clone());
+                context.upstreams.borrow().entry(&sent.engine).map(|e| e.data_centre.clone());
             sent.is_for_all || engine.is_some_and(|engine| engine == data_centre)
         };
         if let Some(far) = note.message_for_relay(concerns) {
-            send(socket, &far, parts, vec![relay]).await;
+            send(socket, &far, context, vec![relay]).await;
         }
     }
 }
 
 /// Takes in what other daemons say, for ever.
-pub async fn receive_messages(parts: Rc<ServeContext>, socket: Rc<UdpSocket>) {
+pub async fn receive_messages(context: Rc<ServeContext>, socket: Rc<UdpSocket>) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     // A datagram may have lain in the socket since it was last seen empty. Taken to have come when it
     // is read, what it says would look fresher than it is, by as long as this process did not run.
@@ -224,7 +224,7 @@
                 continue;
             }
         };
-        take_datagram(&parts, &socket, &buffer[..length], sender, last_empty).await;
+        take_datagram(&context, &socket, &buffer[..length], sender, last_empty).await;
         // Reads that don't wait use up no budget by themselves; without that the other duties would
         // not run while datagrams come faster than they are read.
         consume_budget().await;
@@ -241,7 +241,7 @@
 }
 
 async fn take_datagram(
-    parts: &ServeContext,
+    context: &ServeContext,
     socket: &UdpSocket,
     bytes: &[u8],
     sender: SocketAddr,
@@ -249,12 +249,16 @@
 ) {
     let now = Moment::now();
     let Some(message) = PeerMessage::decode_waiting(bytes, since, now) else {
-        note_loss(parts, MessageLoss::Unreadable, &format!("{} bytes from {sender}", bytes.len()));
+        note_loss(
+            context,
+            MessageLoss::Unreadable,
+            &format!("{} bytes from {sender}", bytes.len()),
+        );
         return;
     };
     if message.is_for_relay {
         let relayed = message.clone().relayed();
-        send_to_all(socket, &relayed, parts, true).await;
+        send_to_all(socket, &relayed, context, true).await;
     }
-    take_message(parts, message, now);
+    take_message(context, message, now);
 }
--- a/crates/guava-serve/src/members/retry_pause.rs
+++ b/crates/guava-serve/src/members/retry_pause.rs
@@ -48,8 +48,8 @@
 }
 
 /// Whether others wait for what this daemon reads of the store, or it can't serve without.
-pub fn is_read_urgent(parts: &ServeContext) -> bool {
-    let has_config = parts.config.borrow().current().is_some();
-    let turn = parts.members.borrow().reader_rank(&parts.identity.name, Moment::now());
+pub fn is_read_urgent(context: &ServeContext) -> bool {
+    let has_config = context.config.borrow().current().is_some();
+    let turn = context.members.borrow().reader_rank(&context.identity.name, Moment::now());
     !has_config || turn <= STANDBYS
 }
--- a/crates/guava-serve/src/parts/part_task.rs
+++ b/crates/guava-serve/src/parts/part_task.rs
@@ -36,21 +36,21 @@
 
 /// Follows those of the stores that the configuration names that are this daemon's turn, for ever.
 pub async fn follow_stores(
-    parts: Rc<ServeContext>,
+    context: Rc<ServeContext>,
     port: Rc<PartPort>,
     followed: Rc<RefCell<Vec<SocketAddr>>>,
 ) {
     let mut followers: FastMap<SocketAddr, JoinHandle<()>> = FastMap::default();
     loop {
-        let config = parts.config.borrow().current().cloned();
+        let config = context.config.borrow().current().cloned();
         if let Some(config) = config {
             let named: Vec<SocketAddr> = config.stores.iter().map(|store| store.address).collect();
             let now = Moment::now();
-            let is_few = parts.members.borrow().data_centres(now) <= FEW_DATA_CENTRES;
+            let is_few = context.members.borrow().data_centres(now) <= FEW_DATA_CENTRES;
             let followers_near = if is_few { FOLLOWERS } else { 1 };
             let own: Vec<SocketAddr> = named
                 .into_iter()
-                .filter(|store| local_rank(&parts, *store, now) < followers_near)
+                .filter(|store| local_rank(&context, *store, now) < followers_near)
                 .collect();
             followers.retain(|address, follower| {
                 let is_kept = own.contains(address);
@@ -62,40 +62,40 @@
             *followed.borrow_mut() = own.clone();
             for address in own {
                 let start = || {
-                    let follow = follow_store(Rc::clone(&parts), Rc::clone(&port), address);
+                    let follow = follow_store(Rc::clone(&context), Rc::clone(&port), address);
                     tokio::task::spawn_local(follow)
                 };
                 followers.entry(address).or_insert_with(start);
             }
         }
-        free_useless(&parts, &port).await;
-        let is_configured = parts.config.borrow().current().is_some();
+        free_useless(&context, &port).await;
+        let is_configured = context.config.borrow().current().is_some();
         let pause_ms = if is_configured { LOOK_PAUSE_MS } else { FIRST_LOOK_PAUSE_MS };
         sleep(Duration::from_millis(pause_ms)).await;
     }
 }
 
 /// This daemon's place among those of its data centre that may follow a store.
-fn local_rank(parts: &ServeContext, store: SocketAddr, now: Moment) -> usize {
-    parts.members.borrow().local_rank(&parts.identity.name, &store.to_string(), now)
+fn local_rank(context: &ServeContext, store: SocketAddr, now: Moment) -> usize {
+    context.members.borrow().local_rank(&context.identity.name, &store.to_string(), now)
 }
 
 /// This daemon's place among all that may free parts in a store.
-fn turn(parts: &ServeContext, store: SocketAddr, now: Moment) -> usize {
-    parts.members.borrow().rank(&parts.identity.name, &store.to_string(), now)
+fn turn(context: &ServeContext, store: SocketAddr, now: Moment) -> usize {
+    context.members.borrow().rank(&context.identity.name, &store.to_string(), now)
 }
 
-async fn follow_store(parts: Rc<ServeContext>, port: Rc<PartPort>, store: SocketAddr) {
+async fn follow_store(context: Rc<ServeContext>, port: Rc<PartPort>, store: SocketAddr) {
     let mut since = 0;
     let mut is_known = false;
     loop {
         let was_known = is_known;
-        match follow_once(&parts, &port, store, &mut since).await {
+        match follow_once(&context, &port, store, &mut since).await {
             Ok(is_followed) => is_known = is_followed,
             Err(error) => {
                 is_known = false;
                 since = 0;
-                parts.part_index.borrow_mut().forget_store(store);
+                context.part_index.borrow_mut().forget_store(store);
                 if was_known {
                     log_event!(warn, events::STORE_FORGOTTEN, store = store, reason = error);
                 }
@@ -110,7 +110,7 @@
 
 /// Takes one report in; whether the store's contents are known after it.
 async fn follow_once(
-    parts: &ServeContext,
+    context: &ServeContext,
     port: &PartPort,
     store: SocketAddr,
     since: &mut u64,
@@ -119,17 +119,17 @@
     let report = (port.events)(store, *since, WAIT_MS).await?;
     let now = Moment::now();
     if let Some(clock_ms) = report.clock_ms {
-        parts.upstream_clock.set(Some(UpstreamClock { clock_ms, read: now }));
+        context.upstream_clock.set(Some(UpstreamClock { clock_ms, read: now }));
     }
     if report.is_gapped {
-        parts.part_index.borrow_mut().forget_store(store);
+        context.part_index.borrow_mut().forget_store(store);
         let list = (port.list)(store).await?;
-        parts.part_index.borrow_mut().note_list(store, list.epoch, list.held, asked);
+        context.part_index.borrow_mut().note_list(store, list.epoch, list.held, asked);
         *since = list.next;
         return Ok(true);
     }
     let as_of = read_as_of(asked, WAIT_MS, report.events.is_empty(), now);
-    let mut index = parts.part_index.borrow_mut();
+    let mut index = context.part_index.borrow_mut();
     if !index.note_events(store, report.epoch, report.events, as_of) {
         // It restarted, so its numbers begin anew.
         *since = 0;
@@ -140,29 +140,29 @@
 }
 
 /// Frees parts of weights that no engine has any more, in the stores that are this daemon's turn.
-async fn free_useless(parts: &ServeContext, port: &PartPort) {
-    let Some(config) = parts.config.borrow().current().cloned() else { return };
+async fn free_useless(context: &ServeContext, port: &PartPort) {
+    let Some(config) = context.config.borrow().current().cloned() else { return };
     for store in config.stores.iter().filter(|store| store.is_managed) {
         let now = Moment::now();
-        if turn(parts, store.address, now) > 0 {
+        if turn(context, store.address, now) > 0 {
             continue;
         }
         let (epoch, useless) = {
-            let upstreams = parts.upstreams.borrow();
-            let targets = parts.targets.borrow();
+            let upstreams = context.upstreams.borrow();
+            let targets = context.targets.borrow();
             let is_unreferenced =
                 |salt: &str| is_salt_unreferenced(salt, &upstreams, &targets, now);
-            parts.part_index.borrow().unreferenced_parts(store.address, is_unreferenced)
+            context.part_index.borrow().unreferenced_parts(store.address, is_unreferenced)
         };
         for chunk in useless.chunks(FREED_AT_ONCE) {
-            let until_ms = parts.upstream_clock_in(FREE_MS, now);
+            let until_ms = context.upstream_clock_in(FREE_MS, now);
             let order = FreeOrder { store: store.address, epoch, parts: chunk.to_vec(), until_ms };
             match (port.free)(order).await {
                 Ok(()) => log_event!(
                     info,
                     events::PARTS_FREED,
                     store = store.address,
-                    parts = chunk.len()
+                    context = chunk.len()
                 ),
                 Err(error) => {
                     log_event!(warn, events::FREEING_FAILED, store = store.address, reason = error);
--- a/crates/guava-serve/src/request/admit.rs
+++ b/crates/guava-serve/src/request/admit.rs
@@ -36,17 +36,17 @@
 /// caller would take that for final. It says that the request has not run, and the caller tries
 /// another daemon.
 pub fn admit(
-    parts: &ServeContext,
+    context: &ServeContext,
     host: &str,
     path: &str,
     key: Option<&str>,
     now: Moment,
 ) -> Result<AdmittedCaller, AdmitRefusal> {
-    let keeper = parts.config.borrow();
+    let keeper = context.config.borrow();
     let Some(config) = keeper.current() else {
         return Err(AdmitRefusal::NotRun(RefusalReason::NotReady));
     };
-    let is_confirmed = now.millis_since(parts.config_confirmed.get()) <= CONFIRMED_MS;
+    let is_confirmed = now.millis_since(context.config_confirmed.get()) <= CONFIRMED_MS;
     let or_not_ready = |refusal| {
         if is_confirmed { refusal } else { AdmitRefusal::NotRun(RefusalReason::NotReady) }
     };
@@ -57,14 +57,14 @@
 
 /// Bytes of a request that are held in memory; given back when this is dropped.
 pub struct HeldBytes {
-    parts: Rc<ServeContext>,
+    context: Rc<ServeContext>,
     count: usize,
 }
 
 impl HeldBytes {
     /// Holds nothing yet.
-    pub fn new(parts: &Rc<ServeContext>) -> Self {
-        Self { parts: Rc::clone(parts), count: 0 }
+    pub fn new(context: &Rc<ServeContext>) -> Self {
+        Self { context: Rc::clone(context), count: 0 }
     }
 
     /// Holds more bytes, if there is room.
@@ -72,11 +72,11 @@
     /// A process over its memory limit is killed with all its requests; refusing some keeps the
     /// others.
     pub fn grow(&mut self, count: usize) -> bool {
-        let held = self.parts.held_bytes.get() + count;
-        if held > self.parts.bounds.held_bytes {
+        let held = self.context.held_bytes.get() + count;
+        if held > self.context.bounds.held_bytes {
             return false;
         }
-        self.parts.held_bytes.set(held);
+        self.context.held_bytes.set(held);
         self.count += count;
         true
     }
@@ -84,7 +84,7 @@
 
 impl Drop for HeldBytes {
     fn drop(&mut self) {
-        let held = self.parts.held_bytes.get();
-        self.parts.held_bytes.set(held.saturating_sub(self.count));
+        let held = self.context.held_bytes.get();
+        self.context.held_bytes.set(held.saturating_sub(self.count));
     }
 }
--- a/crates/guava-serve/src/request/attempt.rs
+++ b/crates/guava-serve/src/request/attempt.rs
@@ -34,7 +34,7 @@
 
 /// Work at an upstream; over when this is dropped.
 pub struct WorkGuard {
-    parts: Rc<ServeContext>,
+    context: Rc<ServeContext>,
     ticket: WorkTicket,
     fetch: Option<FetchTicket>,
     is_long: bool,
@@ -42,25 +42,25 @@
 
 impl WorkGuard {
     /// Notes work from now on.
-    pub fn begin(parts: &Rc<ServeContext>, plan: &AttemptPlan) -> Self {
+    pub fn begin(context: &Rc<ServeContext>, plan: &AttemptPlan) -> Self {
         let now = Moment::now();
-        let ticket = parts.work.borrow_mut().begin(&plan.send.upstream, &plan.load, now);
+        let ticket = context.work.borrow_mut().begin(&plan.send.upstream, &plan.load, now);
         let wait = plan.wait.as_ref().filter(|wait| !wait.stores.is_empty());
-        let fetch = wait.map(|wait| parts.links.borrow_mut().begin(wait, now));
+        let fetch = wait.map(|wait| context.links.borrow_mut().begin(wait, now));
         if plan.is_long {
-            parts.memory_budget.borrow_mut().begin(ticket.number(), plan.load.answer_ms, now);
+            context.memory_budget.borrow_mut().begin(ticket.number(), plan.load.answer_ms, now);
         }
-        Self { parts: Rc::clone(parts), ticket, fetch, is_long: plan.is_long }
+        Self { context: Rc::clone(context), ticket, fetch, is_long: plan.is_long }
     }
 
     fn started(&mut self) {
         let now = Moment::now();
-        self.parts.work.borrow_mut().started(&self.ticket, now);
+        self.context.work.borrow_mut().started(&self.ticket, now);
         if std::mem::take(&mut self.is_long) {
-            self.parts.memory_budget.borrow_mut().started(self.ticket.number(), now);
+            self.context.memory_budget.borrow_mut().started(self.ticket.number(), now);
         }
         if let Some(fetch) = self.fetch.take() {
-            self.parts.links.borrow_mut().arrived(&fetch, now);
+            self.context.links.borrow_mut().arrived(&fetch, now);
         }
     }
 }
@@ -68,12 +68,12 @@
 impl Drop for WorkGuard {
     fn drop(&mut self) {
         let now = Moment::now();
-        self.parts.work.borrow_mut().end(&self.ticket, now);
+        self.context.work.borrow_mut().end(&self.ticket, now);
         if self.is_long {
-            self.parts.memory_budget.borrow_mut().dropped(self.ticket.number(), now);
+            self.context.memory_budget.borrow_mut().dropped(self.ticket.number(), now);
         }
         if let Some(fetch) = &self.fetch {
-            self.parts.links.borrow_mut().dropped(fetch, now);
+            self.context.links.borrow_mut().dropped(fetch, now);
         }
     }
 }
@@ -166,7 +166,7 @@
         let is_over = plan.deadline.passed(Moment::now());
         if !is_over
             && can_place(input)
-            && input.parts.retries.borrow_mut().spend(&plan.service.name)
+            && input.context.retries.borrow_mut().spend(&plan.service.name)
         {
             return Waited::Abandoned;
         }
@@ -179,7 +179,7 @@
 
 /// A request and its plan, as the steps of one send see them.
 struct Attempt<'a> {
-    parts: &'a Rc<ServeContext>,
+    context: &'a Rc<ServeContext>,
     request: &'a AcceptedRequest,
     plan: &'a AttemptPlan,
     input: PlanInput<'a>,
@@ -187,13 +187,13 @@
 
 /// Sends a request once.
 pub async fn attempt(
-    parts: &Rc<ServeContext>,
+    context: &Rc<ServeContext>,
     input: PlanInput<'_>,
     plan: &AttemptPlan,
 ) -> AttemptEnd {
-    let attempt = Attempt { parts, request: input.request, plan, input };
+    let attempt = Attempt { context, request: input.request, plan, input };
     let end = attempt.run().await;
-    parts.metrics.count_send(match end {
+    context.metrics.count_send(match end {
         AttemptEnd::Whole(_) | AttemptEnd::Stream(_) => "answered",
         AttemptEnd::NotSent => "not-sent",
         AttemptEnd::Closed => "closed",
@@ -209,13 +209,13 @@
 impl Attempt<'_> {
     async fn run(&self) -> AttemptEnd {
         let send = &self.plan.send;
-        let was_idle = self.parts.work.borrow().is_idle(&send.upstream, Moment::now());
+        let was_idle = self.context.work.borrow().is_idle(&send.upstream, Moment::now());
         // Listed from the choice on, so that choices made meanwhile see it.
-        let work = WorkGuard::begin(self.parts, self.plan);
+        let work = WorkGuard::begin(self.context, self.plan);
         let Some(mut connection) = self.connect().await else { return AttemptEnd::NotSent };
         // The upstream may have left while the connection was opened.
-        await_fresh_list(self.parts).await;
-        let gate = pass_gate(self.parts, &self.plan.service, &send.upstream, Moment::now());
+        await_fresh_list(self.context).await;
+        let gate = pass_gate(self.context, &self.plan.service, &send.upstream, Moment::now());
         if let GateState::Closed(closed) = gate {
             self.note_closed(connection, closed.reason);
             return AttemptEnd::Closed;
@@ -226,14 +226,14 @@
             return AttemptEnd::NotSent;
         }
         let sent = Moment::now();
-        let encoded = (self.parts.dialect.encode)(self.request, &fresh);
+        let encoded = (self.context.dialect.encode)(self.request, &fresh);
         let answer = match wait_for(self.input, self.plan, connection.exchange(encoded)).await {
             Waited::Done(Ok(answer)) => answer,
             Waited::Done(Err(error)) => return self.failed(&error),
             Waited::Abandoned => return self.given_up(AttemptEnd::Abandoned),
             Waited::TimedOut => return self.given_up(AttemptEnd::TimedOut),
         };
-        let marks = (self.parts.dialect.marks)(answer.status(), answer.headers());
+        let marks = (self.context.dialect.marks)(answer.status(), answer.headers());
         self.note_announcements(&marks, sent);
         // An answer to an earlier request on this connection, or a second one.
         if marks.request.as_deref().is_some_and(|answered| answered != &*self.request.id) {
@@ -253,7 +253,7 @@
     }
 
     fn note_closed(&self, connection: UpstreamConnection, reason: CloseReason) {
-        self.parts.pool.keep(connection, None);
+        self.context.pool.keep(connection, None);
         log_event!(
             info,
             events::SEND_HELD_BACK,
@@ -266,9 +266,9 @@
     async fn connect(&self) -> Option<UpstreamConnection> {
         let address = self.plan.send.address;
         let opened = if self.request.route.repeat.may_repeat() {
-            self.parts.pool.reuse_or_open(address).await
+            self.context.pool.reuse_or_open(address).await
         } else {
-            self.parts.pool.open(address).await
+            self.context.pool.open(address).await
         };
         match opened {
             Ok(connection) => Some(connection),
@@ -285,12 +285,12 @@
         match error {
             ExchangeError::NotSent { is_refused, .. } => {
                 if *is_refused {
-                    note_refused(self.parts, upstream);
+                    note_refused(self.context, upstream);
                 }
                 AttemptEnd::NotSent
             }
             ExchangeError::NoAnswer { .. } => {
-                note_interrupted(self.parts, upstream, self.request.digest());
+                note_interrupted(self.context, upstream, self.request.digest());
                 AttemptEnd::Lost
             }
         }
@@ -298,7 +298,7 @@
 
     /// The connection ended before the answer was whole.
     fn broken(&self, reason: &str) -> AttemptEnd {
-        note_interrupted(self.parts, &self.plan.send.upstream, self.request.digest());
+        note_interrupted(self.context, &self.plan.send.upstream, self.request.digest());
         self.lost(reason)
     }
 
@@ -314,7 +314,7 @@
 
     fn note_failure(&self, reason: &str) {
         let upstream = &self.plan.send.upstream;
-        self.parts.work.borrow_mut().note_failed_answer(upstream, Moment::now());
+        self.context.work.borrow_mut().note_failed_answer(upstream, Moment::now());
         log_event!(
             warn,
             events::SEND_FAILED,
@@ -328,7 +328,7 @@
     /// Takes in what the upstream says of itself; what another one at its address says is not its word.
     fn note_announcements(&self, marks: &AnswerMarks, sent: Moment) {
         if !self.is_others(marks) {
-            note_announcements(self.parts, &self.plan.send.upstream, &marks.announcements, sent);
+            note_announcements(self.context, &self.plan.send.upstream, &marks.announcements, sent);
         }
     }
 
@@ -343,7 +343,7 @@
         let upstream = &self.plan.send.upstream;
         let is_other = self.is_others(marks);
         if marks.is_unexpected && is_other {
-            self.parts.upstreams.borrow_mut().note_replaced(upstream);
+            self.context.upstreams.borrow_mut().note_replaced(upstream);
         } else if marks.is_unexpected {
             if self.note_weights(marks) {
                 end = AttemptEnd::OtherWeights;
@@ -351,7 +351,7 @@
         } else {
             // Full, or loading weights: others are cheaper for a moment.
             let until = Deadline::in_millis(LOADING_GUESS_MS);
-            self.parts.upstreams.borrow_mut().note_loading(upstream, until);
+            self.context.upstreams.borrow_mut().note_loading(upstream, until);
         }
         log_event!(
             info,
@@ -370,14 +370,14 @@
     fn note_weights(&self, marks: &AnswerMarks) -> bool {
         let Some((model, expected)) = self.expected_weights() else { return false };
         let upstream = &self.plan.send.upstream;
-        let mut upstreams = self.parts.upstreams.borrow_mut();
+        let mut upstreams = self.context.upstreams.borrow_mut();
         if let Some(named) = marks.weights.filter(|version| *version > expected) {
             upstreams.note_version(upstream, model, named);
             return true;
         }
         let now = Moment::now();
         upstreams.rule_out(upstream, model, expected, now);
-        let published = self.parts.targets.borrow().published(model);
+        let published = self.context.targets.borrow().published(model);
         upstreams.version(upstream, model, &published, now).is_some()
     }
 
@@ -389,7 +389,7 @@
     /// An engine that runs a request has the weights that were asked for.
     fn confirm_weights(&self) {
         if let Some((model, version)) = self.expected_weights() {
-            let mut upstreams = self.parts.upstreams.borrow_mut();
+            let mut upstreams = self.context.upstreams.borrow_mut();
             upstreams.note_version(&self.plan.send.upstream, model, version);
         }
     }
@@ -404,7 +404,7 @@
         let limit = std::time::Duration::from_millis(REFUSAL_BODY_MS);
         let read = timeout(limit, answer.into_body().collect()).await;
         if matches!(read, Ok(Ok(_))) && !marks.is_last && marks.is_framed {
-            self.parts.pool.keep(connection, marks.idle_limit_ms);
+            self.context.pool.keep(connection, marks.idle_limit_ms);
         }
     }
 
@@ -423,12 +423,12 @@
             Waited::TimedOut => return self.given_up(AttemptEnd::TimedOut),
         };
         work.started();
-        note_answer(self.parts, || self.request.digest());
+        note_answer(self.context, || self.request.digest());
         if !marks.is_last && marks.is_framed {
-            self.parts.pool.keep(connection, marks.idle_limit_ms);
+            self.context.pool.keep(connection, marks.idle_limit_ms);
         }
         let mut headers = head.headers;
-        (self.parts.dialect.strip)(&mut headers);
+        (self.context.dialect.strip)(&mut headers);
         AttemptEnd::Whole(WholeAnswer { status: head.status, headers, body })
     }
 
@@ -456,7 +456,7 @@
         self.confirm_weights();
         self.learn(sent_to_idle);
         let mut headers = head.headers;
-        (self.parts.dialect.strip)(&mut headers);
+        (self.context.dialect.strip)(&mut headers);
         AttemptEnd::Stream(Box::new(OpenStream { status: head.status, headers, first, source }))
     }
 
@@ -465,10 +465,10 @@
         let is_plain = self.plan.send.engine.as_ref().is_some_and(|o| o.fetch_until_ms.is_none());
         if let Some(sent) = sent_to_idle.filter(|_| is_plain) {
             let elapsed = Moment::now().millis_since(sent);
-            let shown = self.parts.prefill.borrow_mut().note(self.plan.load.prompt.0, elapsed);
+            let shown = self.context.prefill.borrow_mut().note(self.plan.load.prompt.0, elapsed);
             if let Some(rate) = shown {
                 let speed = EngineSpeed { engine: self.plan.send.upstream.clone(), rate };
-                self.parts.speeds.borrow_mut().note_own(speed, Moment::now());
+                self.context.speeds.borrow_mut().note_own(speed, Moment::now());
             }
         }
     }
@@ -522,9 +522,9 @@
     }
 
     /// Gives the connection back after the stream's end.
-    pub fn finish(self, parts: &ServeContext) {
+    pub fn finish(self, context: &ServeContext) {
         if !self.marks.is_last && self.marks.is_framed {
-            parts.pool.keep(self.connection, self.marks.idle_limit_ms);
+            context.pool.keep(self.connection, self.marks.idle_limit_ms);
         }
     }
 }
--- a/crates/guava-serve/src/request/dispatch.rs
+++ b/crates/guava-serve/src/request/dispatch.rs
@@ -23,17 +23,17 @@
 
 /// Serves a request: from the choice of an upstream to its answer.
 pub async fn serve_request(
-    parts: &Rc<ServeContext>,
+    context: &Rc<ServeContext>,
     config: &Rc<ServeConfig>,
     request: AcceptedRequest,
 ) -> ServeOutcome {
     let request = Rc::new(request);
     let Some(service) = draw_service(&request.route, rand::random()).cloned() else {
-        return refused(parts, &request, RefusalReason::NoUpstream);
+        return refused(context, &request, RefusalReason::NoUpstream);
     };
-    parts.retries.borrow_mut().earn(&service);
+    context.retries.borrow_mut().earn(&service);
     let mut run = RequestRun {
-        parts: Rc::clone(parts),
+        context: Rc::clone(context),
         config: Rc::clone(config),
         request: Rc::clone(&request),
         service,
@@ -41,33 +41,37 @@
         is_paid: false,
         first_ms: None,
     };
-    let leaving = CallerWatch::new(parts, &request);
+    let leaving = CallerWatch::new(context, &request);
     let result = run.send(None).await;
     leaving.disarm();
     match result {
-        SendResult::Whole(answer) => answered(parts, &request, answer),
+        SendResult::Whole(answer) => answered(context, &request, answer),
         SendResult::Stream(stream) => {
             let first_ms = Moment::now().millis_since(request.arrived);
             run.first_ms = Some(first_ms);
-            parts.metrics.time_first(first_ms);
+            context.metrics.time_first(first_ms);
             ServeOutcome::Answered(relay(run, *stream))
         }
         SendResult::GivenUp { is_over } => match run.record.refusal() {
             Some(RefusalReason::Stopped) => {
-                stopped(parts, &request, run.record.quarantined_until.unwrap_or_default())
+                stopped(context, &request, run.record.quarantined_until.unwrap_or_default())
             }
-            Some(_) if is_over => refused(parts, &request, RefusalReason::TooLate),
+            Some(_) if is_over => refused(context, &request, RefusalReason::TooLate),
             Some(reason) => refuse_until_open(&run, reason),
-            None => lost(parts, &request, is_over, run.record.runs),
+            None => lost(context, &request, is_over, run.record.runs),
         },
     }
 }
 
-fn answered(parts: &ServeContext, request: &AcceptedRequest, answer: WholeAnswer) -> ServeOutcome {
+fn answered(
+    context: &ServeContext,
+    request: &AcceptedRequest,
+    answer: WholeAnswer,
+) -> ServeOutcome {
     let elapsed = Moment::now().millis_since(request.arrived);
-    parts.metrics.time_first(elapsed);
-    parts.metrics.time_whole(elapsed);
-    parts.metrics.count_request("answered");
+    context.metrics.time_first(elapsed);
+    context.metrics.time_whole(elapsed);
+    context.metrics.count_request("answered");
     log_event!(
         info,
         events::ANSWERED,
@@ -83,34 +87,38 @@
 }
 
 /// Refuses a request that is stopped until some moment, and can't be served before.
-fn stopped(parts: &ServeContext, request: &AcceptedRequest, until: Deadline) -> ServeOutcome {
+fn stopped(context: &ServeContext, request: &AcceptedRequest, until: Deadline) -> ServeOutcome {
     let left_ms = until.millis_left(Moment::now()).max(LEAST_STOP_MS);
-    refused_for(parts, request, RefusalReason::Stopped, left_ms)
+    refused_for(context, request, RefusalReason::Stopped, left_ms)
 }
 
 /// Refuses a request; where all upstreams may get nothing for a known time, for that time.
 fn refuse_until_open(run: &RequestRun, reason: RefusalReason) -> ServeOutcome {
     let now = Moment::now();
     let rule = run.config.service(&run.service);
-    let Some(opens) = rule.and_then(|rule| reopening(&run.parts, rule, now)) else {
-        return refused(&run.parts, &run.request, reason);
+    let Some(opens) = rule.and_then(|rule| reopening(&run.context, rule, now)) else {
+        return refused(&run.context, &run.request, reason);
     };
     let closed = RefusalReason::UpstreamsClosed;
     let spread_ms = return_after_ms(closed, rand::random());
-    refused_for(&run.parts, &run.request, closed, opens.millis_since(now) + spread_ms)
+    refused_for(&run.context, &run.request, closed, opens.millis_since(now) + spread_ms)
 }
 
-fn refused(parts: &ServeContext, request: &AcceptedRequest, reason: RefusalReason) -> ServeOutcome {
-    refused_for(parts, request, reason, return_after_ms(reason, rand::random()))
+fn refused(
+    context: &ServeContext,
+    request: &AcceptedRequest,
+    reason: RefusalReason,
+) -> ServeOutcome {
+    refused_for(context, request, reason, return_after_ms(reason, rand::random()))
 }
 
 fn refused_for(
-    parts: &ServeContext,
+    context: &ServeContext,
     request: &AcceptedRequest,
     reason: RefusalReason,
     return_after_ms: u64,
 ) -> ServeOutcome {
-    parts.metrics.count_request("refused");
+    context.metrics.count_request("refused");
     log_event!(
         info,
         events::REFUSED,
@@ -123,8 +131,13 @@
     ServeOutcome::NotRun { reason, return_after_ms }
 }
 
-fn lost(parts: &ServeContext, request: &AcceptedRequest, is_over: bool, runs: u32) -> ServeOutcome {
-    parts.metrics.count_request(if is_over { "timed-out" } else { "lost" });
+fn lost(
+    context: &ServeContext,
+    request: &AcceptedRequest,
+    is_over: bool,
+    runs: u32,
+) -> ServeOutcome {
+    context.metrics.count_request(if is_over { "timed-out" } else { "lost" });
     log_event!(
         warn,
         events::LOST,
@@ -139,14 +152,14 @@
 
 /// Logs that a caller left while it waited: its request is dropped with all that it uses.
 struct CallerWatch {
-    parts: Rc<ServeContext>,
+    context: Rc<ServeContext>,
     request: Rc<AcceptedRequest>,
     is_armed: bool,
 }
 
 impl CallerWatch {
-    fn new(parts: &Rc<ServeContext>, request: &Rc<AcceptedRequest>) -> Self {
-        Self { parts: Rc::clone(parts), request: Rc::clone(request), is_armed: true }
+    fn new(context: &Rc<ServeContext>, request: &Rc<AcceptedRequest>) -> Self {
+        Self { context: Rc::clone(context), request: Rc::clone(request), is_armed: true }
     }
 
     fn disarm(mut self) {
@@ -157,7 +170,7 @@
 impl Drop for CallerWatch {
     fn drop(&mut self) {
         if self.is_armed {
-            self.parts.metrics.count_request("caller-left");
+            self.context.metrics.count_request("caller-left");
             let elapsed = Moment::now().millis_since(self.request.arrived);
             log_event!(info, events::CALLER_LEFT, request = self.request.id, elapsed_ms = elapsed);
         }
--- a/crates/guava-serve/src/request/event_relay.rs
+++ b/crates/guava-serve/src/request/event_relay.rs
@@ -116,7 +116,11 @@
             };
             match until(limit, source.next()).await {
                 Some(StreamStep::Broken(reason)) => {
-                    note_interrupted(&self.run.parts, &source.upstream, self.run.request.digest());
+                    note_interrupted(
+                        &self.run.context,
+                        &source.upstream,
+                        self.run.request.digest(),
+                    );
                     return StreamStep::Broken(reason);
                 }
                 Some(step) => return step,
@@ -137,7 +141,7 @@
     /// meanwhile: where no other takes the stream, it goes on itself.
     async fn take_up(&mut self, reason: &str) -> Result<Option<EventBatch>, BrokenStream> {
         let broken = |reason: &str| BrokenStream { reason: reason.into() };
-        self.run.parts.work.borrow_mut().note_failed_answer(&self.passed.upstream, Moment::now());
+        self.run.context.work.borrow_mut().note_failed_answer(&self.passed.upstream, Moment::now());
         if self.run.request.route.repeat != RepeatRule::ResumableStream {
             return Err(broken(reason));
         }
@@ -173,10 +177,10 @@
 
     fn finish(&mut self) {
         self.is_over = true;
-        note_answer(&self.run.parts, || self.run.request.digest());
+        note_answer(&self.run.context, || self.run.request.digest());
         let elapsed = Moment::now().millis_since(self.run.request.arrived);
-        self.run.parts.metrics.time_whole(elapsed);
-        self.run.parts.metrics.count_request("answered");
+        self.run.context.metrics.time_whole(elapsed);
+        self.run.context.metrics.count_request("answered");
         log_event!(
             info,
             events::ANSWERED,
@@ -187,14 +191,14 @@
             runs = self.run.record.runs
         );
         if let Some(source) = self.source.take() {
-            source.finish(&self.run.parts);
+            source.finish(&self.run.context);
         }
     }
 
     fn break_off(&mut self, broken: BrokenStream) -> BrokenStream {
         self.is_over = true;
         self.source = None;
-        self.run.parts.metrics.count_request("broken");
+        self.run.context.metrics.count_request("broken");
         let now = Moment::now();
         log_event!(
             warn,
@@ -217,7 +221,7 @@
 impl Drop for EventRelay {
     fn drop(&mut self) {
         if !self.is_over {
-            self.run.parts.metrics.count_request("caller-left");
+            self.run.context.metrics.count_request("caller-left");
             log_event!(
                 info,
                 events::CALLER_LEFT,
--- a/crates/guava-serve/src/request/fresh_state.rs
+++ b/crates/guava-serve/src/request/fresh_state.rs
@@ -26,25 +26,26 @@
     tracker.confirmed().is_some_and(|confirmed| now.millis_since(confirmed) > stale_ms)
 }
 
-fn is_list_stale(parts: &ServeContext) -> bool {
-    let is_stale = is_stale(&parts.reads.borrow().list, parts.bounds.leave_limit_ms, Moment::now());
-    is_stale && !parts.upstreams.borrow().is_unavailable()
+fn is_list_stale(context: &ServeContext) -> bool {
+    let is_stale =
+        is_stale(&context.reads.borrow().list, context.bounds.leave_limit_ms, Moment::now());
+    is_stale && !context.upstreams.borrow().is_unavailable()
 }
 
-fn is_config_stale(parts: &ServeContext) -> bool {
-    let limit_ms = parts.bounds.config_limit_ms;
-    let is_stale = is_stale(&parts.reads.borrow().operator, limit_ms, Moment::now());
-    is_stale && !parts.is_operator_unavailable.get()
+fn is_config_stale(context: &ServeContext) -> bool {
+    let limit_ms = context.bounds.config_limit_ms;
+    let is_stale = is_stale(&context.reads.borrow().operator, limit_ms, Moment::now());
+    is_stale && !context.is_operator_unavailable.get()
 }
 
 /// Waits until the list of upstreams is fresh enough to send by.
-pub async fn await_fresh_list(parts: &ServeContext) {
-    hold_while(|| is_list_stale(parts)).await;
+pub async fn await_fresh_list(context: &ServeContext) {
+    hold_while(|| is_list_stale(context)).await;
 }
 
 /// Waits until the configuration is fresh enough to admit by.
-pub async fn await_fresh_config(parts: &ServeContext) {
-    hold_while(|| is_config_stale(parts)).await;
+pub async fn await_fresh_config(context: &ServeContext) {
+    hold_while(|| is_config_stale(context)).await;
 }
 
 async fn hold_while(is_stale: impl Fn() -> bool) {
--- a/crates/guava-serve/src/request/request_plan.rs
+++ b/crates/guava-serve/src/request/request_plan.rs
@@ -46,7 +46,7 @@
 #[derive(Clone, Copy)]
 pub struct PlanInput<'a> {
     /// The parts of the request path.
-    pub parts: &'a ServeContext,
+    pub context: &'a ServeContext,
     /// The configuration that the request was accepted under.
     pub config: &'a ServeConfig,
     /// The request.
@@ -106,7 +106,7 @@
     let PlanInput { request, config, record, .. } = input;
     let now = Moment::now();
     let left_ms = request.deadline.millis_left(now);
-    let list_age_ms = input.parts.list_age_ms(now).unwrap_or_default();
+    let list_age_ms = input.context.list_age_ms(now).unwrap_or_default();
     match &plan.send.engine {
         None => log_event!(
             info,
@@ -149,7 +149,7 @@
 ) -> Option<AttemptPlan> {
     let request = input.request;
     let service = input.config.service(input.service)?;
-    let address = input.parts.upstreams.borrow().entry(&upstream)?.address;
+    let address = input.context.upstreams.borrow().entry(&upstream)?.address;
     let now = Moment::now();
     let answer_timeout = first_answer_timeout_ms(&request.route, input.record.runs, load.answer_ms);
     let send = SendPlan {
@@ -174,16 +174,16 @@
 /// Upstreams of the request's service that may get nothing now.
 fn closed(input: PlanInput<'_>, now: Moment) -> Vec<UpstreamId> {
     let rule = input.config.service(input.service);
-    rule.map(|rule| closed_upstreams(input.parts, rule, now)).unwrap_or_default()
+    rule.map(|rule| closed_upstreams(input.context, rule, now)).unwrap_or_default()
 }
 
 fn plan_plain(input: PlanInput<'_>) -> Option<AttemptPlan> {
     let now = Moment::now();
     let upstream = choose_instance(&ServiceInput {
         service: input.service,
-        upstreams: &input.parts.upstreams.borrow(),
-        work: &input.parts.work.borrow(),
-        data_centre: &input.parts.identity.data_centre,
+        upstreams: &input.context.upstreams.borrow(),
+        work: &input.context.work.borrow(),
+        data_centre: &input.context.identity.data_centre,
         tried: &input.record.tried,
         closed: &closed(input, now),
         now,
@@ -203,7 +203,7 @@
     prompt: &PromptShape,
     may_hold: bool,
 ) -> PlanStep {
-    let parts = input.parts;
+    let context = input.context;
     let Some(choice) = choose_for(input, traits, prompt) else { return PlanStep::Nowhere };
     if choice.is_crowded && may_hold {
         return PlanStep::Crowded;
@@ -213,16 +213,16 @@
         prompt: choice.recompute,
         memory: prompt.memory(),
         answer_ms: choice.expected_ms,
-        service_ms: parts.read_ms(&choice.upstream, choice.recompute),
+        service_ms: context.read_ms(&choice.upstream, choice.recompute),
         priority: input.request.priority(),
     };
-    note_choice(parts, prompt, &choice, load.priority, now);
+    note_choice(context, prompt, &choice, load.priority, now);
     match attempt_plan(input, choice.upstream.clone(), load) {
         None => PlanStep::Nowhere,
         Some(mut plan) => {
             plan.is_long = choice.is_long;
             plan.wait = choice.fetch.as_ref().map(|fetch| fetch.wait.clone());
-            plan.send.engine = Some(engine_orders(parts, choice, now));
+            plan.send.engine = Some(engine_orders(context, choice, now));
             PlanStep::Send(Box::new(plan))
         }
     }
@@ -234,10 +234,10 @@
     traits: &EngineTraits,
     prompt: &PromptShape,
 ) -> Option<EngineChoice> {
-    let parts = input.parts;
+    let context = input.context;
     let now = Moment::now();
-    let members = parts.members.borrow();
-    let is_near = |note: &&MemberDescriptor| note.data_centre == parts.identity.data_centre;
+    let members = context.members.borrow();
+    let is_near = |note: &&MemberDescriptor| note.data_centre == context.identity.data_centre;
     let peers: Vec<MemberName> =
         members.living(now).filter(is_near).map(|note| note.name.clone()).collect();
     drop(members);
@@ -247,19 +247,19 @@
         service: input.service,
         traits,
         stores: &input.config.stores,
-        upstreams: &parts.upstreams.borrow(),
-        work: &parts.work.borrow(),
-        parts: &parts.part_index.borrow(),
-        links: &parts.links.borrow(),
-        targets: &parts.targets.borrow(),
-        version_limits: parts.bounds.version_limits,
-        prefill: parts.prefill.borrow().rate(),
-        speeds: &parts.speeds.borrow(),
-        fixed_ms: parts.prefill.borrow().fixed_ms(),
-        memory_part: parts.memory_budget.borrow_mut().part(now),
-        me: &parts.identity.name,
+        upstreams: &context.upstreams.borrow(),
+        work: &context.work.borrow(),
+        parts: &context.part_index.borrow(),
+        links: &context.links.borrow(),
+        targets: &context.targets.borrow(),
+        version_limits: context.bounds.version_limits,
+        prefill: context.prefill.borrow().rate(),
+        speeds: &context.speeds.borrow(),
+        fixed_ms: context.prefill.borrow().fixed_ms(),
+        memory_part: context.memory_budget.borrow_mut().part(now),
+        me: &context.identity.name,
         peers: &peers,
-        data_centre: &parts.identity.data_centre,
+        data_centre: &context.identity.data_centre,
         tried: &input.record.tried,
         closed: &closed(input, now),
         now,
@@ -267,10 +267,10 @@
     })
 }
 
-fn engine_orders(parts: &ServeContext, choice: EngineChoice, now: Moment) -> EngineOrders {
+fn engine_orders(context: &ServeContext, choice: EngineChoice, now: Moment) -> EngineOrders {
     // Without the upstreams' clock a fetch can't be bounded, and is left out.
     let fetch = choice.fetch.and_then(|fetch| {
-        let until = parts.upstream_clock_in(fetch.budget_ms, now)?;
+        let until = context.upstream_clock_in(fetch.budget_ms, now)?;
         Some((fetch.sources, until))
     });
     let (fetch, fetch_until_ms) = match fetch {
@@ -288,7 +288,7 @@
 
 /// Remembers where a prompt's parts go, here and for peers.
 fn note_choice(
-    parts: &ServeContext,
+    context: &ServeContext,
     prompt: &PromptShape,
     choice: &EngineChoice,
     priority: u8,
@@ -296,7 +296,7 @@
 ) {
     let keys: Vec<PartKey> =
         prompt.parts.iter().map(|part| PartKey::new(&choice.salt, &part.id)).collect();
-    let mut index = parts.part_index.borrow_mut();
+    let mut index = context.part_index.borrow_mut();
     let shared = keys.len().saturating_sub(1);
     index.note_sent(&choice.upstream, &keys[..shared], prompt.memory(), now);
     let parts_saved = keys.iter().zip(&prompt.parts).zip(&choice.save);
@@ -318,16 +318,16 @@
         saves,
         transfers: choice.transfers.clone(),
     };
-    let stands_for = parts.members.borrow().stands_for();
+    let stands_for = context.members.borrow().stands_for();
     for transfer in &choice.transfers {
-        parts.links.borrow_mut().note(*transfer, stands_for, now);
+        context.links.borrow_mut().note(*transfer, stands_for, now);
     }
     if sent.waiting >= NOTED_PROMPT || !sent.transfers.is_empty() {
-        parts.just_sent.borrow_mut().push(sent);
-        parts.message_due.notify_one();
+        context.just_sent.borrow_mut().push(sent);
+        context.message_due.notify_one();
         return;
     }
-    let mut remembered = parts.sent_prompts.borrow_mut();
+    let mut remembered = context.sent_prompts.borrow_mut();
     if remembered.len() < REMEMBERED_PROMPTS {
         remembered.push(sent);
     }
--- a/crates/guava-serve/src/request/request_run.rs
+++ b/crates/guava-serve/src/request/request_run.rs
@@ -26,7 +26,7 @@
 /// A request that was accepted, on its way.
 pub struct RequestRun {
     /// The parts it uses.
-    pub parts: Rc<ServeContext>,
+    pub context: Rc<ServeContext>,
     /// The configuration that it was accepted under.
     pub config: Rc<ServeConfig>,
     /// The request.
@@ -59,7 +59,7 @@
     pub async fn send(&mut self, resume_after: Option<&str>) -> SendResult {
         let mut fallback: Option<WholeAnswer> = None;
         loop {
-            await_fresh_list(&self.parts).await;
+            await_fresh_list(&self.context).await;
             let now = Moment::now();
             if self.request.deadline.passed(now) {
                 return given_up(fallback, true);
@@ -69,7 +69,7 @@
             }
             // Looked up before each send: what other daemons saw meanwhile counts.
             self.record.quarantined_until =
-                quarantined_until(&self.parts, || self.request.digest());
+                quarantined_until(&self.context, || self.request.digest());
             if self.record.quarantined_until.is_some() {
                 return given_up(fallback, false);
             }
@@ -89,13 +89,13 @@
             }
             log_send(&self.plan_input(), &plan);
             self.record.tried.push(plan.send.upstream.clone());
-            match attempt(&self.parts, self.plan_input(), &plan).await {
+            match attempt(&self.context, self.plan_input(), &plan).await {
                 AttemptEnd::Whole(answer) => {
                     self.note_run();
                     if !self.is_worth_retry(&answer) {
                         return SendResult::Whole(answer);
                     }
-                    self.parts
+                    self.context
                         .work
                         .borrow_mut()
                         .note_failed_answer(&plan.send.upstream, Moment::now());
@@ -129,7 +129,7 @@
 
     fn plan_input(&self) -> PlanInput<'_> {
         PlanInput {
-            parts: &self.parts,
+            context: &self.context,
             config: &self.config,
             request: &self.request,
             service: &self.service,
@@ -150,12 +150,12 @@
         let until = Deadline::after(request.arrived, request.route.objective_ms);
         let until = until.earlier(request.deadline);
         let now = Moment::now();
-        let wait = self.parts.memory_queue.borrow().expected_wait_ms(request.priority(), now);
+        let wait = self.context.memory_queue.borrow().expected_wait_ms(request.priority(), now);
         if wait.is_some_and(|wait_ms| Deadline::after(now, wait_ms) > until) {
             // It would be refused after that time anyway; told at once, its caller can go elsewhere.
             return false;
         }
-        let place = QueuedPrompt::join(&self.parts, request);
+        let place = QueuedPrompt::join(&self.context, request);
         log_event!(info, events::HELD, request = request.id, ahead = place.ahead());
         loop {
             sleep(Duration::from_millis(HOLD_TICK_MS)).await;
@@ -163,7 +163,7 @@
                 return false;
             }
             if place.is_first() && !is_crowded(self.plan_input()) {
-                self.parts.memory_queue.borrow_mut().note_start(Moment::now());
+                self.context.memory_queue.borrow_mut().note_start(Moment::now());
                 return true;
             }
         }
@@ -191,7 +191,7 @@
     /// Whether a stream that has begun can go on at another upstream, whose try is then paid for.
     pub fn can_move(&mut self) -> bool {
         let is_over = self.request.deadline.passed(Moment::now());
-        let is_stopped = quarantined_until(&self.parts, || self.request.digest()).is_some();
+        let is_stopped = quarantined_until(&self.context, || self.request.digest()).is_some();
         let may_move = !is_over && !is_stopped && self.may_try();
         let can_move = may_move && can_place(self.plan_input()) && self.pay();
         self.is_paid |= can_move;
@@ -203,7 +203,7 @@
         if self.record.arrivals == 0 || std::mem::take(&mut self.is_paid) {
             return true;
         }
-        self.parts.retries.borrow_mut().spend(&self.service)
+        self.context.retries.borrow_mut().spend(&self.service)
     }
 
     /// An upstream's own error may not be another's.
@@ -221,27 +221,27 @@
 
 /// A place in the line for memory at engines; given up when this is dropped.
 struct QueuedPrompt {
-    parts: Rc<ServeContext>,
+    context: Rc<ServeContext>,
     ticket: u64,
 }
 
 impl QueuedPrompt {
-    fn join(parts: &Rc<ServeContext>, request: &AcceptedRequest) -> Self {
-        let ticket = parts.memory_queue.borrow_mut().join(request.priority(), request.arrived);
-        Self { parts: Rc::clone(parts), ticket }
+    fn join(context: &Rc<ServeContext>, request: &AcceptedRequest) -> Self {
+        let ticket = context.memory_queue.borrow_mut().join(request.priority(), request.arrived);
+        Self { context: Rc::clone(context), ticket }
     }
 
     fn is_first(&self) -> bool {
-        self.parts.memory_queue.borrow().is_first(self.ticket)
+        self.context.memory_queue.borrow().is_first(self.ticket)
     }
 
     fn ahead(&self) -> usize {
-        self.parts.memory_queue.borrow().ahead_of(self.ticket)
+        self.context.memory_queue.borrow().ahead_of(self.ticket)
     }
 }
 
 impl Drop for QueuedPrompt {
     fn drop(&mut self) {
-        self.parts.memory_queue.borrow_mut().leave(self.ticket);
+        self.context.memory_queue.borrow_mut().leave(self.ticket);
     }
 }
--- a/crates/guava-serve/src/request/send_gate.rs
+++ b/crates/guava-serve/src/request/send_gate.rs
@@ -87,12 +87,12 @@
 }
 
 /// The upstreams that have a limit, with this daemon's share of it and its use.
-pub fn limit_levels(parts: &ServeContext, now: Moment) -> Vec<LimitLevel> {
+pub fn limit_levels(context: &ServeContext, now: Moment) -> Vec<LimitLevel> {
     let (announcements, sends, members) =
-        (parts.announcements.borrow(), parts.sends.borrow(), parts.members.borrow());
+        (context.announcements.borrow(), context.sends.borrow(), context.members.borrow());
     let level = |notice: LimitNotice| {
         let limit = notice.rate?;
-        let share = limit_part(&members, &parts.identity.name, &notice.upstream, limit);
+        let share = limit_part(&members, &context.identity.name, &notice.upstream, limit);
         let sent = sends.count(&notice.upstream, LEVEL_MS, now);
         Some(LimitLevel {
             limit: limit.as_per_second(),
@@ -111,35 +111,39 @@
 }
 
 fn with_gate<T>(
-    parts: &ServeContext,
+    context: &ServeContext,
     rule: &ServiceRule,
     ask: impl FnOnce(&GateInput<'_>) -> T,
 ) -> T {
     ask(&GateInput {
-        drains: &parts.drains.borrow(),
+        drains: &context.drains.borrow(),
         cold: rule.cold,
-        announcements: &parts.announcements.borrow(),
-        sends: &parts.sends.borrow(),
-        members: &parts.members.borrow(),
-        me: &parts.identity.name,
+        announcements: &context.announcements.borrow(),
+        sends: &context.sends.borrow(),
+        members: &context.members.borrow(),
+        me: &context.identity.name,
     })
 }
 
 /// The upstreams of a service that may get nothing now.
-pub fn closed_upstreams(parts: &ServeContext, rule: &ServiceRule, now: Moment) -> Vec<UpstreamId> {
-    let upstreams = parts.upstreams.borrow();
+pub fn closed_upstreams(
+    context: &ServeContext,
+    rule: &ServiceRule,
+    now: Moment,
+) -> Vec<UpstreamId> {
+    let upstreams = context.upstreams.borrow();
     let serving = upstreams.serving(&rule.name, now);
-    with_gate(parts, rule, |input| {
+    with_gate(context, rule, |input| {
         let is_closed = |entry: &&UpstreamEntry| !gate_state(input, entry, now).is_open();
         serving.filter(is_closed).map(|entry| entry.id.clone()).collect()
     })
 }
 
 /// When the first upstream of a service may get a request again, if none may now and that is known.
-pub fn reopening(parts: &ServeContext, rule: &ServiceRule, now: Moment) -> Option<Moment> {
-    let upstreams = parts.upstreams.borrow();
+pub fn reopening(context: &ServeContext, rule: &ServiceRule, now: Moment) -> Option<Moment> {
+    let upstreams = context.upstreams.borrow();
     let mut serving = upstreams.serving(&rule.name, now);
-    with_gate(parts, rule, |input| {
+    with_gate(context, rule, |input| {
         serving.try_fold(None, |first: Option<Moment>, entry| match gate_state(input, entry, now) {
             GateState::Open | GateState::Cold => Err(()),
             GateState::Closed(closed) => Ok(first.into_iter().chain(closed.until).min()),
@@ -151,21 +155,21 @@
 
 /// Whether a request may be sent to an upstream right now; notes it as sent.
 pub fn pass_gate(
-    parts: &ServeContext,
+    context: &ServeContext,
     rule: &ServiceRule,
     upstream: &UpstreamId,
     now: Moment,
 ) -> GateState {
     let state = {
-        let upstreams = parts.upstreams.borrow();
+        let upstreams = context.upstreams.borrow();
         let entry = upstreams.entry(upstream).filter(|entry| !entry.is_leaving);
         match entry {
-            Some(entry) => with_gate(parts, rule, |input| gate_state(input, entry, now)),
+            Some(entry) => with_gate(context, rule, |input| gate_state(input, entry, now)),
             None => GateState::Closed(ClosedUpstream { reason: CloseReason::Left, until: None }),
         }
     };
     if state.is_open() {
-        note_send(parts, upstream, now);
+        note_send(context, upstream, now);
     }
     state
 }
--- a/crates/guava-serve/src/upstreams/announcement_watch.rs
+++ b/crates/guava-serve/src/upstreams/announcement_watch.rs
@@ -12,7 +12,7 @@
 
 /// Takes in what an answer says of its upstream, to a request that was sent at some moment.
 pub fn note_announcements(
-    parts: &ServeContext,
+    context: &ServeContext,
     upstream: &UpstreamId,
     announcements: &UpstreamAnnouncements,
     sent: Moment,
@@ -21,36 +21,41 @@
     let spread = |until| jitter_backoff(until, now, rand::random());
     let backoff_until = announcements.backoff_until.map(spread);
     let announcements = UpstreamAnnouncements { backoff_until, ..announcements.clone() };
-    let news = parts.announcements.borrow_mut().note_answer(upstream, &announcements, sent, now);
+    let news = context.announcements.borrow_mut().note_answer(upstream, &announcements, sent, now);
     for news in &news {
-        log_announcement(parts, upstream, news, &"answer", now, now);
+        log_announcement(context, upstream, news, &"answer", now, now);
         if news.is_urgent() {
-            parts.announcements_due.borrow_mut().push(upstream.clone());
-            parts.message_due.notify_one();
+            context.announcements_due.borrow_mut().push(upstream.clone());
+            context.message_due.notify_one();
         }
     }
 }
 
 /// Notes that an upstream gets a request, after a rest if it had asked for one.
-pub fn note_send(parts: &ServeContext, upstream: &UpstreamId, now: Moment) {
-    parts.sends.borrow_mut().note(upstream, now);
-    if parts.announcements.borrow_mut().note_send(upstream) {
-        log_word(parts, upstream, "rest-over", "", &"clock", 0);
+pub fn note_send(context: &ServeContext, upstream: &UpstreamId, now: Moment) {
+    context.sends.borrow_mut().note(upstream, now);
+    if context.announcements.borrow_mut().note_send(upstream) {
+        log_word(context, upstream, "rest-over", "", &"clock", 0);
     }
 }
 
 /// Takes in what another daemon knows of an upstream's limit.
-pub fn take_limit(parts: &ServeContext, notice: &LimitNotice, source: &MemberName, now: Moment) {
-    let news = parts.announcements.borrow_mut().note_notice(notice, now);
+pub fn take_limit(context: &ServeContext, notice: &LimitNotice, source: &MemberName, now: Moment) {
+    let news = context.announcements.borrow_mut().note_notice(notice, now);
     news.iter().for_each(|news| {
-        log_announcement(parts, &notice.upstream, news, source, notice.as_of, now)
+        log_announcement(context, &notice.upstream, news, source, notice.as_of, now)
     });
 }
 
 /// Takes in that an upstream leaves, as another daemon knows.
-pub fn take_leaving(parts: &ServeContext, upstream: &UpstreamId, source: &MemberName, now: Moment) {
-    let news = parts.announcements.borrow_mut().note_leaving(upstream, now);
-    news.iter().for_each(|news| log_announcement(parts, upstream, news, source, now, now));
+pub fn take_leaving(
+    context: &ServeContext,
+    upstream: &UpstreamId,
+    source: &MemberName,
+    now: Moment,
+) {
+    let news = context.announcements.borrow_mut().note_leaving(upstream, now);
+    news.iter().for_each(|news| log_announcement(context, upstream, news, source, now, now));
 }
 
 /// What other daemons are told of upstreams' words.
@@ -64,9 +69,9 @@
 
 /// What upstreams have just said, for other daemons at once; told with the next summary only, sends to
 /// an upstream in need would go on until then.
-pub fn urgent_announcements(parts: &ServeContext) -> AnnouncementBatch {
-    let due = std::mem::take(&mut *parts.announcements_due.borrow_mut());
-    let announcements = parts.announcements.borrow();
+pub fn urgent_announcements(context: &ServeContext) -> AnnouncementBatch {
+    let due = std::mem::take(&mut *context.announcements_due.borrow_mut());
+    let announcements = context.announcements.borrow();
     AnnouncementBatch {
         limits: due.iter().filter_map(|upstream| announcements.limit_notice(upstream)).collect(),
         leaving: due.into_iter().filter(|upstream| announcements.is_leaving(upstream)).collect(),
@@ -74,8 +79,8 @@
 }
 
 /// The words that a summary tells: nearly always none.
-pub fn summary_announcements(parts: &ServeContext, now: Moment) -> AnnouncementBatch {
-    let announcements = parts.announcements.borrow();
+pub fn summary_announcements(context: &ServeContext, now: Moment) -> AnnouncementBatch {
+    let announcements = context.announcements.borrow();
     AnnouncementBatch {
         limits: some_of(announcements.limit_notices(now).collect()),
         leaving: some_of(announcements.recently_leaving(now).cloned().collect()),
@@ -93,7 +98,7 @@
 }
 
 fn log_announcement(
-    parts: &ServeContext,
+    context: &ServeContext,
     upstream: &UpstreamId,
     news: &AnnouncementChange,
     source: &impl Display,
@@ -101,18 +106,18 @@
     now: Moment,
 ) {
     let age_ms = now.millis_since(as_of);
-    log_word(parts, upstream, news.kind(), &news.value(now), source, age_ms);
+    log_word(context, upstream, news.kind(), &news.value(now), source, age_ms);
 }
 
 fn log_word(
-    parts: &ServeContext,
+    context: &ServeContext,
     upstream: &UpstreamId,
     word: &'static str,
     value: &str,
     source: &impl Display,
     age_ms: u64,
 ) {
-    parts.metrics.count_announcement(word);
+    context.metrics.count_announcement(word);
     log_event!(
         info,
         events::WORD_LEARNT,
--- a/crates/guava-serve/src/upstreams/quarantine_task.rs
+++ b/crates/guava-serve/src/upstreams/quarantine_task.rs
@@ -42,9 +42,10 @@
 }
 
 /// Reads and writes the records of stopped requests, for ever.
-pub async fn persist_quarantines(parts: Rc<ServeContext>, port: QuarantinePort) {
+pub async fn persist_quarantines(context: Rc<ServeContext>, port: QuarantinePort) {
     let started = Moment::now();
-    let mut duty = QuarantineTask { parts, port, started, written: FastMap::default(), read: None };
+    let mut duty =
+        QuarantineTask { context, port, started, written: FastMap::default(), read: None };
     let mut retry = RetryPause::default();
     loop {
         match duty.step().await {
@@ -52,11 +53,11 @@
                 retry.reset();
                 let pause = Duration::from_millis(LOOK_MS);
                 // Whether it is time or there is news makes no difference.
-                drop(timeout(pause, duty.parts.quarantines_due.notified()).await);
+                drop(timeout(pause, duty.context.quarantines_due.notified()).await);
             }
             Err(reason) => {
                 log_event!(debug, events::STOPS_UNREAD, reason = reason);
-                let is_urgent = is_read_urgent(&duty.parts);
+                let is_urgent = is_read_urgent(&duty.context);
                 sleep(retry.after_failure(is_urgent, rand::random())).await;
             }
         }
@@ -64,7 +65,7 @@
 }
 
 struct QuarantineTask {
-    parts: Rc<ServeContext>,
+    context: Rc<ServeContext>,
     port: QuarantinePort,
     started: Moment,
     /// Records that stand in the store, as far as this daemon wrote or read them.
@@ -77,11 +78,11 @@
     async fn step(&mut self) -> Result<(), PortError> {
         let now = Moment::now();
         let (turn, peers) = {
-            let members = self.parts.members.borrow();
-            (members.reader_rank(&self.parts.identity.name, now), members.count() - 1)
+            let members = self.context.members.borrow();
+            (members.reader_rank(&self.context.identity.name, now), members.count() - 1)
         };
-        let sight = self.parts.quarantine_sync.get();
-        for request in self.parts.ledger.borrow_mut().sweep(now) {
+        let sight = self.context.quarantine_sync.get();
+        for request in self.context.ledger.borrow_mut().sweep(now) {
             log_event!(info, events::REQUEST_CLEARED, digest = request, reason = "over");
         }
         let may_read = self.read.is_none_or(|again| again.passed(now));
@@ -98,12 +99,12 @@
         let records = (self.port.read)().await?;
         let now = Moment::now();
         self.read = Some(Deadline::after(now, ALONE_MS));
-        let sight = self.parts.quarantine_sync.get();
-        self.parts.quarantine_sync.set(QuarantineSync { is_known: true, ..sight });
+        let sight = self.context.quarantine_sync.get();
+        self.context.quarantine_sync.set(QuarantineSync { is_known: true, ..sight });
         for record in records {
             self.written.insert(record.request, record.times);
             let QuarantineRecord { request, times } = record;
-            if self.parts.ledger.borrow_mut().note_record(request, times, now) {
+            if self.context.ledger.borrow_mut().note_record(request, times, now) {
                 log_event!(warn, events::REQUEST_QUARANTINED, digest = request, source = "store");
             }
         }
@@ -114,7 +115,7 @@
     /// first reader drops: a standby that was cut off may not know why a request is stopped.
     async fn write_records(&mut self, turn: usize) -> Result<(), PortError> {
         let known: Vec<QuarantineRecord> = {
-            let ledger = self.parts.ledger.borrow();
+            let ledger = self.context.ledger.borrow();
             let remembered = ledger.remembered();
             remembered.map(|(request, times)| QuarantineRecord { request, times }).collect()
         };
--- a/crates/guava-serve/src/upstreams/upstream_call.rs
+++ b/crates/guava-serve/src/upstreams/upstream_call.rs
@@ -16,7 +16,7 @@
 
 /// Makes a call to an upstream; its connection is kept for so many milliseconds.
 pub async fn call_upstream(
-    parts: &ServeContext,
+    context: &ServeContext,
     upstream: &UpstreamId,
     address: SocketAddr,
     request: Request<Full<Bytes>>,
@@ -24,29 +24,32 @@
     idle_ms: u64,
 ) -> Result<CallAnswer, CallError> {
     let sent = Moment::now();
-    ensure!(parts.announcements.borrow().backoff_until(upstream, sent).is_none(), BackingOffSnafu);
-    note_send(parts, upstream, sent);
-    let answer = parts.pool.call(address, request, deadline, idle_ms).await?;
-    let marks = (parts.dialect.marks)(answer.status, &answer.headers);
+    ensure!(
+        context.announcements.borrow().backoff_until(upstream, sent).is_none(),
+        BackingOffSnafu
+    );
+    note_send(context, upstream, sent);
+    let answer = context.pool.call(address, request, deadline, idle_ms).await?;
+    let marks = (context.dialect.marks)(answer.status, &answer.headers);
     if !marks.is_unexpected {
-        note_announcements(parts, upstream, &marks.announcements, sent);
+        note_announcements(context, upstream, &marks.announcements, sent);
     }
     Ok(answer)
 }
 
 /// Makes a call to a store of cached parts; its connection is kept for so many milliseconds.
 pub async fn call_store(
-    parts: &ServeContext,
+    context: &ServeContext,
     store: SocketAddr,
     request: Request<Full<Bytes>>,
     deadline: Deadline,
     idle_ms: u64,
 ) -> Result<CallAnswer, CallError> {
-    let backoff_until = parts.store_backoffs.borrow().get(&store).copied();
+    let backoff_until = context.store_backoffs.borrow().get(&store).copied();
     ensure!(backoff_until.is_none_or(|until| until.passed(Moment::now())), BackingOffSnafu);
-    let answer = parts.pool.call(store, request, deadline, idle_ms).await?;
-    let announcements = (parts.dialect.marks)(answer.status, &answer.headers).announcements;
-    let mut rests = parts.store_backoffs.borrow_mut();
+    let answer = context.pool.call(store, request, deadline, idle_ms).await?;
+    let announcements = (context.dialect.marks)(answer.status, &answer.headers).announcements;
+    let mut rests = context.store_backoffs.borrow_mut();
     match announcements.backoff_until {
         Some(until) => drop(rests.insert(store, until)),
         None => drop(rests.remove(&store)),
--- a/crates/guava-serve/src/weights/order_task.rs
+++ b/crates/guava-serve/src/weights/order_task.rs
@@ -46,7 +46,7 @@
 
 /// This daemon's part in orders.
 pub struct OrderTask {
-    parts: Rc<ServeContext>,
+    context: Rc<ServeContext>,
     lease_port: LeasePort,
     engine_port: EnginePort,
     me: Incarnation,
@@ -63,15 +63,15 @@
 impl OrderTask {
     /// A duty that has done nothing yet.
     pub fn new(
-        parts: Rc<ServeContext>,
+        context: Rc<ServeContext>,
         ports: (LeasePort, EnginePort),
         apart_ms: u64,
         rollout: Rc<RefCell<VersionRollout>>,
     ) -> Self {
         let (lease_port, engine_port) = ports;
         Self {
-            me: parts.identity.lease_holder(),
-            parts,
+            me: context.identity.lease_holder(),
+            context,
             lease_port,
             engine_port,
             apart_ms,
@@ -88,7 +88,7 @@
     pub async fn run(mut self) {
         let mut wanted_since: Option<Moment> = None;
         loop {
-            let is_wanted = self.rollout.borrow_mut().refresh(&self.parts, Moment::now());
+            let is_wanted = self.rollout.borrow_mut().refresh(&self.context, Moment::now());
             if !is_wanted {
                 wanted_since = None;
                 sleep(Duration::from_millis(IDLE_MS)).await;
@@ -132,7 +132,8 @@
             return Ok(());
         }
         let is_holder = self.fence().is_some();
-        let turn = self.parts.members.borrow().rank(&self.parts.identity.name, LEASE_SUBJECT, now);
+        let turn =
+            self.context.members.borrow().rank(&self.context.identity.name, LEASE_SUBJECT, now);
         if !is_holder && turn >= STANDBYS {
             sleep(Duration::from_millis(WATCH_MS)).await;
             return Ok(());
@@ -198,15 +199,15 @@
         }
         let until = Deadline::in_millis(ANNOUNCED_MS);
         for id in engines {
-            self.parts.upstreams.borrow_mut().note_loading(id, until);
+            self.context.upstreams.borrow_mut().note_loading(id, until);
         }
-        self.parts.just_loading.borrow_mut().extend_from_slice(engines);
-        self.parts.message_due.notify_one();
+        self.context.just_loading.borrow_mut().extend_from_slice(engines);
+        self.context.message_due.notify_one();
         sleep(Duration::from_millis(ANNOUNCE_PAUSE_MS)).await;
     }
 
     fn address(&self, id: &UpstreamId) -> Option<SocketAddr> {
-        self.parts.upstreams.borrow().entry(id).map(|entry| entry.address)
+        self.context.upstreams.borrow().entry(id).map(|entry| entry.address)
     }
 
     /// Asks the engines under way whether they are done.
@@ -230,15 +231,15 @@
         if told == *id {
             return Ok(found);
         }
-        if self.parts.upstreams.borrow_mut().note_start(&told) {
-            self.parts.pool.forget(address);
+        if self.context.upstreams.borrow_mut().note_start(&told) {
+            self.context.pool.forget(address);
             log_event!(info, events::LIST_CHANGED, upstream = told, change = "restarted");
         }
         Err(PortError::new(&format_args!("{told} answers for it")))
     }
 
     fn note_loaded(&self, id: &UpstreamId, model: &ModelName, version: WeightVersion) {
-        self.parts.upstreams.borrow_mut().note_version(id, model, version);
+        self.context.upstreams.borrow_mut().note_version(id, model, version);
         self.rollout.borrow_mut().note_done(model, id, Moment::now());
         log_event!(info, events::WEIGHTS_LOADED, upstream = id, version = version);
     }
@@ -269,7 +270,7 @@
             address,
             model: model.clone(),
             version,
-            holder: self.parts.identity.name.as_str().into(),
+            holder: self.context.identity.name.as_str().into(),
             fence,
             orders_before: found.orders,
         };
--- a/crates/guava-serve/src/weights/rollout_state.rs
+++ b/crates/guava-serve/src/weights/rollout_state.rs
@@ -51,11 +51,11 @@
 
 impl VersionRollout {
     /// Takes in what is known by now; whether any engine lags behind.
-    pub fn refresh(&mut self, parts: &ServeContext, now: Moment) -> bool {
-        let targets = parts.targets.borrow();
-        let upstreams = parts.upstreams.borrow();
-        let work = parts.work.borrow();
-        let announcements = parts.announcements.borrow();
+    pub fn refresh(&mut self, context: &ServeContext, now: Moment) -> bool {
+        let targets = context.targets.borrow();
+        let upstreams = context.upstreams.borrow();
+        let work = context.work.borrow();
+        let announcements = context.announcements.borrow();
         for (model, target) in targets.iter() {
             let rollout = self.models.entry(model.clone()).or_default();
             if rollout.version != target.version {
@@ -75,7 +75,7 @@
         drop((targets, upstreams, work, announcements));
         for id in self.loading(now) {
             let until = Deadline::after(now, LOADING_MS);
-            parts.upstreams.borrow_mut().note_loading(&id, until);
+            context.upstreams.borrow_mut().note_loading(&id, until);
         }
         self.models.values().any(ModelRollout::is_lagging)
     }
--- a/crates/guava-serve/tests/answer_words.rs
+++ b/crates/guava-serve/tests/answer_words.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use support::scripted::{ScriptStep, ScriptedUpstream, chunk, last_chunk, whole};
-use support::served::{Got, parts, read, run};
+use support::served::{Got, context, read, run};
 use support::{config, id, request, route};
 use yare::parameterized;
 
@@ -45,10 +45,10 @@
 /// Serves a request by one upstream; what is known afterwards.
 fn served_by(upstream: &ScriptedUpstream, repeat: RepeatRule) -> Rc<ServeContext> {
     run(async {
-        let parts = parts(&[upstream]);
-        let outcome = serve_request(&parts, &Rc::new(config(1)), ask(repeat)).await;
+        let context = context(&[upstream]);
+        let outcome = serve_request(&context, &Rc::new(config(1)), ask(repeat)).await;
         read(outcome).await;
-        parts
+        context
     })
 }
 
@@ -63,9 +63,9 @@
 fn limit_is_read_from_every_whole_answer(status: &str, headers: &str) {
     let upstream = says(status, &format!("{headers}{LIMIT}"));
 
-    let parts = served_by(&upstream, RepeatRule::NonIdempotent);
+    let context = served_by(&upstream, RepeatRule::NonIdempotent);
 
-    assert_eq!(parts.announcements.borrow().limit(&id("u0")), limit(2.0));
+    assert_eq!(context.announcements.borrow().limit(&id("u0")), limit(2.0));
 }
 
 #[parameterized(
@@ -79,9 +79,9 @@
 fn leaving_is_read_from_every_whole_answer(status: &str, headers: &str) {
     let upstream = says(status, &format!("{headers}x-leaving: 1\r\n"));
 
-    let parts = served_by(&upstream, RepeatRule::NonIdempotent);
+    let context = served_by(&upstream, RepeatRule::NonIdempotent);
 
-    assert!(parts.announcements.borrow().is_leaving(&id("u0")));
+    assert!(context.announcements.borrow().is_leaving(&id("u0")));
 }
 
 #[parameterized(
@@ -95,9 +95,9 @@
     let staying = says("200 OK", "");
 
     run(async {
-        let parts = parts(&[&leaving, &staying]);
+        let context = context(&[&leaving, &staying]);
         for _ in 0..12 {
-            drop(serve_request(&parts, &Rc::new(config(1)), ask(repeat)).await);
+            drop(serve_request(&context, &Rc::new(config(1)), ask(repeat)).await);
         }
     });
 
@@ -117,12 +117,12 @@
     let leaving = says("200 OK", "");
 
     run(async {
-        let parts = parts(&[&breaks, &leaving]);
+        let context = context(&[&breaks, &leaving]);
         // Only the first one can be chosen for the beginning.
-        parts.upstreams.borrow_mut().note_crashed(&id("u1"), Deadline::in_millis(20));
+        context.upstreams.borrow_mut().note_crashed(&id("u1"), Deadline::in_millis(20));
         let request = ask(RepeatRule::ResumableStream);
-        let outcome = serve_request(&parts, &Rc::new(config(1)), request).await;
-        parts.announcements.borrow_mut().note_leaving(&id("u1"), Moment::now());
+        let outcome = serve_request(&context, &Rc::new(config(1)), request).await;
+        context.announcements.borrow_mut().note_leaving(&id("u1"), Moment::now());
         read(outcome).await;
     });
 
@@ -133,9 +133,9 @@
 fn limit_of_another_upstream_at_the_address_is_not_taken_for_this_ones() {
     let upstream = says("421 Misdirected", &format!("x-instance: other\r\n{LIMIT}"));
 
-    let parts = served_by(&upstream, RepeatRule::NonIdempotent);
+    let context = served_by(&upstream, RepeatRule::NonIdempotent);
 
-    assert_eq!(parts.announcements.borrow().limit(&id("u0")), None);
+    assert_eq!(context.announcements.borrow().limit(&id("u0")), None);
 }
 
 #[parameterized(
@@ -146,9 +146,9 @@
     let upstream = streams(LIMIT);
 
     let known = run(async {
-        let parts = parts(&[&upstream]);
-        let outcome = serve_request(&parts, &Rc::new(config(1)), ask(repeat)).await;
-        let known = parts.announcements.borrow().limit(&id("u0"));
+        let context = context(&[&upstream]);
+        let outcome = serve_request(&context, &Rc::new(config(1)), ask(repeat)).await;
+        let known = context.announcements.borrow().limit(&id("u0"));
         read(outcome).await;
         known
     });
@@ -161,13 +161,14 @@
     let upstream = says("200 OK", LIMIT);
 
     let (known, sends) = run(async {
-        let parts = parts(&[&upstream]);
+        let context = context(&[&upstream]);
         let call = call_request(http::Method::GET, upstream.address, "/report", Vec::new());
         let deadline = Deadline::in_millis(1_000);
-        let called = call_upstream(&parts, &id("u0"), upstream.address, call, deadline, 100).await;
+        let called =
+            call_upstream(&context, &id("u0"), upstream.address, call, deadline, 100).await;
         assert!(called.is_ok());
-        let sends = parts.sends.borrow().count(&id("u0"), 1_000, Moment::now());
-        (parts.announcements.borrow().limit(&id("u0")), sends)
+        let sends = context.sends.borrow().count(&id("u0"), 1_000, Moment::now());
+        (context.announcements.borrow().limit(&id("u0")), sends)
     });
 
     assert_eq!((known, sends), (limit(2.0), 1));
@@ -179,11 +180,11 @@
     let free = says("200 OK", "");
 
     let waited = run(async {
-        let parts = parts(&[&limited, &free]);
+        let context = context(&[&limited, &free]);
         let begun = Instant::now();
         for _ in 0..12 {
             let outcome =
-                serve_request(&parts, &Rc::new(config(1)), ask(RepeatRule::NonIdempotent)).await;
+                serve_request(&context, &Rc::new(config(1)), ask(RepeatRule::NonIdempotent)).await;
             assert!(matches!(outcome, ServeOutcome::Answered(_)));
         }
         begun.elapsed()
@@ -205,12 +206,12 @@
     let limited = says("200 OK", "x-limit: 0.5\r\n");
 
     let (outcome, waited) = run(async {
-        let parts = parts(&[&limited]);
-        parts.members.borrow_mut().note_listed();
+        let context = context(&[&limited]);
+        context.members.borrow_mut().note_listed();
         let config = Rc::new(config(1));
-        drop(serve_request(&parts, &config, ask(RepeatRule::NonIdempotent)).await);
+        drop(serve_request(&context, &config, ask(RepeatRule::NonIdempotent)).await);
         let begun = Instant::now();
-        (serve_request(&parts, &config, ask(repeat)).await, begun.elapsed())
+        (serve_request(&context, &config, ask(repeat)).await, begun.elapsed())
     });
 
     let ServeOutcome::NotRun { reason, return_after_ms } = outcome else { panic!("not refused") };
@@ -228,18 +229,18 @@
 fn rest_is_read_from_every_refusal(status: &str, headers: &str) {
     let upstream = says(status, &format!("{headers}retry-after: 30\r\n"));
 
-    let parts = served_by(&upstream, RepeatRule::NonIdempotent);
+    let context = served_by(&upstream, RepeatRule::NonIdempotent);
 
-    assert!(parts.announcements.borrow().backoff_until(&id("u0"), Moment::now()).is_some());
+    assert!(context.announcements.borrow().backoff_until(&id("u0"), Moment::now()).is_some());
 }
 
 #[test]
 fn success_that_names_a_time_asks_for_no_rest() {
     let upstream = says("200 OK", "retry-after: 30\r\n");
 
-    let parts = served_by(&upstream, RepeatRule::NonIdempotent);
+    let context = served_by(&upstream, RepeatRule::NonIdempotent);
 
-    assert!(parts.announcements.borrow().backoff_until(&id("u0"), Moment::now()).is_none());
+    assert!(context.announcements.borrow().backoff_until(&id("u0"), Moment::now()).is_none());
 }
 
 #[parameterized(
@@ -256,11 +257,11 @@
     let outcomes = run(async {
         let mut all: Vec<&ScriptedUpstream> = resting.iter().collect();
         all.push(&serving);
-        let parts = parts(&all);
+        let context = context(&all);
         let config = Rc::new(config(1));
         let mut outcomes = Vec::new();
         for _ in 0..12 {
-            outcomes.push(serve_request(&parts, &config, ask(repeat)).await);
+            outcomes.push(serve_request(&context, &config, ask(repeat)).await);
         }
         outcomes
     });
@@ -275,11 +276,11 @@
     let (one, two) = (says("503 Shed", &refusal(8)), says("503 Shed", &refusal(30)));
 
     let (outcome, waited) = run(async {
-        let parts = parts(&[&one, &two]);
+        let context = context(&[&one, &two]);
         let config = Rc::new(config(1));
-        drop(serve_request(&parts, &config, ask(RepeatRule::NonIdempotent)).await);
+        drop(serve_request(&context, &config, ask(RepeatRule::NonIdempotent)).await);
         let begun = Instant::now();
-        let outcome = serve_request(&parts, &config, ask(RepeatRule::NonIdempotent)).await;
+        let outcome = serve_request(&context, &config, ask(RepeatRule::NonIdempotent)).await;
         (outcome, begun.elapsed())
     });
 
@@ -298,11 +299,11 @@
     ]);
 
     let outcome = run(async {
-        let parts = parts(&[&wakes]);
+        let context = context(&[&wakes]);
         let config = Rc::new(config(1));
-        drop(serve_request(&parts, &config, ask(RepeatRule::NonIdempotent)).await);
+        drop(serve_request(&context, &config, ask(RepeatRule::NonIdempotent)).await);
         tokio::time::sleep(Duration::from_millis(130)).await;
-        read(serve_request(&parts, &config, ask(RepeatRule::NonIdempotent)).await).await
+        read(serve_request(&context, &config, ask(RepeatRule::NonIdempotent)).await).await
     });
 
     assert_eq!(outcome, Got::Answer { status: 200, body: "awake".to_owned(), is_whole: true });
@@ -313,16 +314,16 @@
     let resting = says("503 Shed", "retry-after: 30\r\n");
 
     let results = run(async {
-        let parts = parts(&[&resting]);
+        let context = context(&[&resting]);
         let mut results = Vec::new();
         for _ in 0..2 {
             let call = call_request(http::Method::GET, resting.address, "/report", Vec::new());
             let deadline = Deadline::in_millis(1_000);
             let upstream = id("u0");
-            let called = call_upstream(&parts, &upstream, resting.address, call, deadline, 100);
+            let called = call_upstream(&context, &upstream, resting.address, call, deadline, 100);
             results.push(called.await.is_ok());
             let call = call_request(http::Method::GET, resting.address, "/events", Vec::new());
-            let called = call_store(&parts, resting.address, call, deadline, 100);
+            let called = call_store(&context, resting.address, call, deadline, 100);
             results.push(called.await.is_ok());
         }
         results
--- a/crates/guava-serve/tests/dispatch.rs
+++ b/crates/guava-serve/tests/dispatch.rs
@@ -12,15 +12,15 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use support::scripted::{ScriptStep, ScriptedUpstream, chunk, last_chunk, stream_head, whole};
-use support::served::{Got, parts, read, run};
+use support::served::{Got, context, read, run};
 use support::{config, engine, id, model, prompt, request, route, upstream};
 
 /// Serves one request of a kind; what its caller gets.
 fn serve(repeat: RepeatRule, upstreams: &[&ScriptedUpstream]) -> Got {
     run(async {
-        let parts = parts(upstreams);
+        let context = context(upstreams);
         let request = request(route("/x/", "app", repeat));
-        read(serve_request(&parts, &Rc::new(config(1)), request).await).await
+        read(serve_request(&context, &Rc::new(config(1)), request).await).await
     })
 }
 
@@ -94,13 +94,13 @@
     let works = ScriptedUpstream::start(vec![vec![whole("200 OK", "", "yes")]]);
 
     let got = run(async {
-        let parts = parts(&[&works]);
+        let context = context(&[&works]);
         let entry = UpstreamEntry { address, ..upstream("dead", "app") };
-        parts.upstreams.borrow_mut().note_entry(entry);
+        context.upstreams.borrow_mut().note_entry(entry);
         let mut got = Vec::new();
         for _ in 0..4 {
             let request = request(route("/x/", "app", RepeatRule::NonIdempotent));
-            got.push(read(serve_request(&parts, &Rc::new(config(1)), request).await).await);
+            got.push(read(serve_request(&context, &Rc::new(config(1)), request).await).await);
         }
         got
     });
@@ -145,11 +145,11 @@
     ]);
 
     let got = run(async {
-        let parts = parts(&[&works]);
+        let context = context(&[&works]);
         let mut got = Vec::new();
         for _ in 0..2 {
             let request = request(route("/x/", "app", RepeatRule::NonIdempotent));
-            got.push(read(serve_request(&parts, &Rc::new(config(1)), request).await).await);
+            got.push(read(serve_request(&context, &Rc::new(config(1)), request).await).await);
             // Time for the connection to become idle, so that it could be used again.
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
@@ -171,11 +171,11 @@
     )]]);
 
     let known = run(async {
-        let parts = parts(&[&other]);
+        let context = context(&[&other]);
         let request = request(route("/x/", "app", RepeatRule::NonIdempotent));
-        let got = read(serve_request(&parts, &Rc::new(config(1)), request).await).await;
+        let got = read(serve_request(&context, &Rc::new(config(1)), request).await).await;
         assert_eq!(got, Got::NotRun);
-        parts.upstreams.borrow().count()
+        context.upstreams.borrow().count()
     });
 
     assert_eq!(known, 0);
@@ -201,8 +201,8 @@
     let started = Instant::now();
 
     let got = run(async {
-        let parts = parts(&[&silent]);
-        read(serve_request(&parts, &Rc::new(config(1)), request(short)).await).await
+        let context = context(&[&silent]);
+        read(serve_request(&context, &Rc::new(config(1)), request(short)).await).await
     });
 
     assert_eq!(got, Got::TimedOut);
@@ -218,10 +218,10 @@
     let silent = ScriptedUpstream::start(vec![vec![ScriptStep::AwaitClose]]);
 
     run(async {
-        let parts = parts(&[&silent]);
+        let context = context(&[&silent]);
         let request = request(route("/x/", "app", RepeatRule::NonIdempotent));
         let config = Rc::new(config(1));
-        let serving = serve_request(&parts, &config, request);
+        let serving = serve_request(&context, &config, request);
         let left = tokio::time::timeout(Duration::from_millis(100), serving).await;
         assert!(left.is_err());
         // The connection's task ends when the runtime next gets to it.
@@ -341,14 +341,14 @@
     ]);
 
     let (got, known) = run(async {
-        let parts = parts(&[]);
+        let context = context(&[]);
         let entry = UpstreamEntry { address: updated.address, ..engine("e", 1) };
-        parts.upstreams.borrow_mut().note_entry(entry);
-        parts.targets.borrow_mut().offer(&model(), WeightVersion(2), Moment::now());
+        context.upstreams.borrow_mut().note_entry(entry);
+        context.targets.borrow_mut().offer(&model(), WeightVersion(2), Moment::now());
         let mut request = request(route("/llm/", "llm", RepeatRule::Stream));
         request.prompt = Some(prompt("packet", 100, 10));
-        let got = read(serve_request(&parts, &Rc::new(config(1)), request).await).await;
-        let versions = parts.upstreams.borrow().entry(&id("e")).unwrap().versions.clone();
+        let got = read(serve_request(&context, &Rc::new(config(1)), request).await).await;
+        let versions = context.upstreams.borrow().entry(&id("e")).unwrap().versions.clone();
         (got, versions[&model()])
     });
 
@@ -358,14 +358,14 @@
 
 /// An engine whose memory is full of another run, and a long prompt for it.
 fn crowded(engine_at: &ScriptedUpstream) -> (Rc<ServeContext>, WorkTicket, AcceptedRequest) {
-    let parts = parts(&[]);
+    let context = context(&[]);
     let entry = UpstreamEntry { address: engine_at.address, ..engine("e", 1) };
-    parts.upstreams.borrow_mut().note_entry(entry);
+    context.upstreams.borrow_mut().note_entry(entry);
     let full = ExpectedLoad { memory: TokenCount(60_700), ..ExpectedLoad::default() };
-    let running = parts.work.borrow_mut().begin(&id("e"), &full, Moment::now());
+    let running = context.work.borrow_mut().begin(&id("e"), &full, Moment::now());
     let mut request = request(route("/llm/", "llm", RepeatRule::Stream));
     request.prompt = Some(prompt("packet", 12_800, 4_200));
-    (parts, running, request)
+    (context, running, request)
 }
 
 #[test]
@@ -377,14 +377,14 @@
     let upstream = ScriptedUpstream::start(vec![vec![whole("200 OK", "", "id: 1\n\n")]]);
 
     let (got, waited) = run(async {
-        let (parts, running, request) = crowded(&upstream);
+        let (context, running, request) = crowded(&upstream);
         let begun = Instant::now();
-        let frees = Rc::clone(&parts);
+        let frees = Rc::clone(&context);
         tokio::task::spawn_local(async move {
             tokio::time::sleep(Duration::from_millis(120)).await;
             frees.work.borrow_mut().end(&running, Moment::now());
         });
-        let outcome = serve_request(&parts, &Rc::new(config(1)), request).await;
+        let outcome = serve_request(&context, &Rc::new(config(1)), request).await;
         (read(outcome).await, begun.elapsed())
     });
 
@@ -397,9 +397,9 @@
     let upstream = ScriptedUpstream::start(vec![vec![whole("200 OK", "", "id: 1\n\n")]]);
 
     let (outcome, waited) = run(async {
-        let (parts, _running, request) = crowded(&upstream);
+        let (context, _running, request) = crowded(&upstream);
         let begun = Instant::now();
-        let outcome = serve_request(&parts, &Rc::new(config(1)), request).await;
+        let outcome = serve_request(&context, &Rc::new(config(1)), request).await;
         (outcome, begun.elapsed())
     });
 
@@ -418,16 +418,16 @@
     let upstream = ScriptedUpstream::start(vec![vec![whole("200 OK", "", "id: 1\n\n")]]);
 
     let (outcome, waited) = run(async {
-        let (parts, _running, request) = crowded(&upstream);
+        let (context, _running, request) = crowded(&upstream);
         let now = Moment::now();
         for ago in [600, 300, 0] {
-            parts.memory_queue.borrow_mut().note_start(now.minus_millis(ago));
+            context.memory_queue.borrow_mut().note_start(now.minus_millis(ago));
         }
         for _ in 0..2 {
-            parts.memory_queue.borrow_mut().join(request.priority(), now);
+            context.memory_queue.borrow_mut().join(request.priority(), now);
         }
         let begun = Instant::now();
-        let outcome = serve_request(&parts, &Rc::new(config(1)), request).await;
+        let outcome = serve_request(&context, &Rc::new(config(1)), request).await;
         (outcome, begun.elapsed())
     });
 
@@ -441,13 +441,13 @@
     let upstream = ScriptedUpstream::start(vec![vec![whole("200 OK", "", "id: 1\n\n")]]);
 
     let is_next = run(async {
-        let (parts, _running, request) = crowded(&upstream);
+        let (context, _running, request) = crowded(&upstream);
         let config = Rc::new(config(1));
-        let served = serve_request(&parts, &config, request);
+        let served = serve_request(&context, &config, request);
         let left = tokio::time::timeout(Duration::from_millis(60), served).await;
         assert!(left.is_err());
-        let next = parts.memory_queue.borrow_mut().join(9, Moment::now());
-        parts.memory_queue.borrow().is_first(next)
+        let next = context.memory_queue.borrow_mut().join(9, Moment::now());
+        context.memory_queue.borrow().is_first(next)
     });
 
     assert!(is_next);
@@ -458,9 +458,9 @@
     let upstream = ScriptedUpstream::start(vec![vec![whole("200 OK", "", "id: 1\n\n")]]);
 
     let got = run(async {
-        let (parts, _running, mut request) = crowded(&upstream);
+        let (context, _running, mut request) = crowded(&upstream);
         request.prompt = Some(prompt("greeting", 300, 80));
-        read(serve_request(&parts, &Rc::new(config(1)), request).await).await
+        read(serve_request(&context, &Rc::new(config(1)), request).await).await
     });
 
     assert_eq!(got, ok("id: 1\n\n"));
@@ -480,17 +480,17 @@
     ]);
 
     let (got, known) = run(async {
-        let parts = parts(&[]);
+        let context = context(&[]);
         let entry = UpstreamEntry { address: engine_at.address, ..engine("e", 1) };
-        parts.upstreams.borrow_mut().note_entry(entry);
+        context.upstreams.borrow_mut().note_entry(entry);
         for version in [2, 3] {
-            let mut targets = parts.targets.borrow_mut();
+            let mut targets = context.targets.borrow_mut();
             targets.offer(&model(), WeightVersion(version), Moment::now());
         }
         let mut request = request(route("/llm/", "llm", RepeatRule::Stream));
         request.prompt = Some(prompt("packet", 100, 10));
-        let got = read(serve_request(&parts, &Rc::new(config(1)), request).await).await;
-        let versions = parts.upstreams.borrow().entry(&id("e")).unwrap().versions.clone();
+        let got = read(serve_request(&context, &Rc::new(config(1)), request).await).await;
+        let versions = context.upstreams.borrow().entry(&id("e")).unwrap().versions.clone();
         (got, versions[&model()])
     });
 
@@ -523,8 +523,8 @@
     route.max_attempts = 1;
 
     let got = run(async {
-        let parts = parts(&[&engine]);
-        read(serve_request(&parts, &Rc::new(config(1)), request(route)).await).await
+        let context = context(&[&engine]);
+        read(serve_request(&context, &Rc::new(config(1)), request(route)).await).await
     });
 
     assert_eq!(got, ok("id: 1\ndata: one\n\nid: 2\ndata: two\n\n"));
@@ -538,12 +538,12 @@
     let serves = ScriptedUpstream::start(vec![vec![whole("200 OK", "", "yes")]]);
 
     let got = run(async {
-        let parts = parts(&[&left, &serves]);
+        let context = context(&[&left, &serves]);
         let now = Moment::now();
-        parts.upstreams.borrow_mut().note_read(now);
-        parts.reads.borrow_mut().list.note_own(1, now.minus_millis(1_950));
-        parts.reads.borrow_mut().operator.note_own(1, now);
-        let reads = Rc::clone(&parts);
+        context.upstreams.borrow_mut().note_read(now);
+        context.reads.borrow_mut().list.note_own(1, now.minus_millis(1_950));
+        context.reads.borrow_mut().operator.note_own(1, now);
+        let reads = Rc::clone(&context);
         tokio::task::spawn_local(async move {
             tokio::time::sleep(Duration::from_millis(60)).await;
             let entry = reads.upstreams.borrow().entry(&id("u0")).cloned().unwrap();
@@ -554,7 +554,7 @@
         let mut got = Vec::new();
         for _ in 0..6 {
             let request = request(route("/x/", "app", RepeatRule::NonIdempotent));
-            got.push(read(serve_request(&parts, &Rc::new(config(1)), request).await).await);
+            got.push(read(serve_request(&context, &Rc::new(config(1)), request).await).await);
         }
         got
     });
@@ -567,11 +567,11 @@
 fn moved(pause_ms: u64, other: &ScriptedUpstream) -> (Got, ScriptedUpstream) {
     let engine = pausing_stream(pause_ms);
     let got = run(async {
-        let parts = parts(&[&engine, other]);
+        let context = context(&[&engine, other]);
         // Only the engine can be chosen for the beginning.
-        parts.upstreams.borrow_mut().note_crashed(&id("u1"), Deadline::in_millis(400));
+        context.upstreams.borrow_mut().note_crashed(&id("u1"), Deadline::in_millis(400));
         let request = request(route("/x/", "app", RepeatRule::ResumableStream));
-        read(serve_request(&parts, &Rc::new(config(1)), request).await).await
+        read(serve_request(&context, &Rc::new(config(1)), request).await).await
     });
     (got, engine)
 }
@@ -603,11 +603,11 @@
     ]]);
 
     let (got, closed_after) = run(async {
-        let parts = parts(&[&engine, &slow]);
-        parts.upstreams.borrow_mut().note_crashed(&id("u1"), Deadline::in_millis(400));
+        let context = context(&[&engine, &slow]);
+        context.upstreams.borrow_mut().note_crashed(&id("u1"), Deadline::in_millis(400));
         let request = request(route("/x/", "app", RepeatRule::ResumableStream));
         let reading =
-            async { read(serve_request(&parts, &Rc::new(config(1)), request).await).await };
+            async { read(serve_request(&context, &Rc::new(config(1)), request).await).await };
         let closing = async {
             while slow.requests().is_empty() {
                 tokio::time::sleep(Duration::from_millis(5)).await;
@@ -641,9 +641,9 @@
             tokio::time::sleep(Duration::from_millis(100)).await;
             std::thread::sleep(Duration::from_millis(1_200));
         });
-        let parts = parts(&[&engine, &other]);
+        let context = context(&[&engine, &other]);
         let request = request(route("/x/", "app", RepeatRule::ResumableStream));
-        read(serve_request(&parts, &Rc::new(config(1)), request).await).await
+        read(serve_request(&context, &Rc::new(config(1)), request).await).await
     });
 
     assert_eq!(got, ok("id: 1\ndata: one\n\nid: 2\ndata: two\n\n"));
@@ -673,9 +673,9 @@
             tokio::time::sleep(Duration::from_millis(100)).await;
             std::thread::sleep(Duration::from_millis(2_200));
         });
-        let parts = parts(&[&upstream, &other]);
+        let context = context(&[&upstream, &other]);
         let request = request(route("/x/", "app", RepeatRule::Idempotent));
-        read(serve_request(&parts, &Rc::new(config(1)), request).await).await
+        read(serve_request(&context, &Rc::new(config(1)), request).await).await
     });
 
     assert_eq!(got, ok("first"));
@@ -692,9 +692,9 @@
             tokio::time::sleep(Duration::from_millis(100)).await;
             std::thread::sleep(Duration::from_millis(900));
         });
-        let parts = parts(&[]);
+        let context = context(&[]);
         let call = call_request(http::Method::GET, store.address, "/records", Vec::new());
-        parts.pool.call(store.address, call, Deadline::in_millis(600), 5_000).await
+        context.pool.call(store.address, call, Deadline::in_millis(600), 5_000).await
     });
 
     assert_eq!(called.unwrap().body, "records");
--- a/crates/guava-serve/tests/hear_peers.rs
+++ b/crates/guava-serve/tests/hear_peers.rs
@@ -30,10 +30,10 @@
     // Evidence: a word that lay in the socket for 1,500 ms counted as 1,503 ms fresher than it was.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let heard = tokio::task::LocalSet::new().block_on(&runtime, async {
-        let parts = Rc::new(serve_context("d2"));
+        let context = Rc::new(serve_context("d2"));
         let socket = Rc::new(UdpSocket::bind("127.0.0.1:0").await.unwrap());
         let address = socket.local_addr().unwrap();
-        tokio::task::spawn_local(receive_messages(Rc::clone(&parts), socket));
+        tokio::task::spawn_local(receive_messages(Rc::clone(&context), socket));
         tokio::time::sleep(Duration::from_millis(100)).await;
 
         let sender = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
@@ -42,7 +42,7 @@
         std::thread::sleep(STALL);
         tokio::time::sleep(Duration::from_millis(100)).await;
 
-        let freshest = parts.reads.borrow().list.freshest();
+        let freshest = context.reads.borrow().list.freshest();
         freshest.map(|as_of| (sent, as_of))
     });
 
--- a/crates/guava-serve/tests/order_duty.rs
+++ b/crates/guava-serve/tests/order_duty.rs
@@ -55,24 +55,24 @@
     // Sequence: weights are published; the engine crashes and starts again under its name; its
     // report, which nobody expected to be of another start, comes before its entry.
     // Cause: the report was taken for one of the engine known here.
-    let parts = Rc::new(serve_context("d1"));
+    let context = Rc::new(serve_context("d1"));
     let listed = engine("e", 1);
     let before = UpstreamEntry { id: listed.id.started_at(100), ..listed.clone() };
     let after = UpstreamEntry { id: listed.id.started_at(200), ..listed };
-    parts.upstreams.borrow_mut().note_entry(before.clone());
-    parts.targets.borrow_mut().offer(&model(), WeightVersion(2), Moment::now());
+    context.upstreams.borrow_mut().note_entry(before.clone());
+    context.targets.borrow_mut().offer(&model(), WeightVersion(2), Moment::now());
     let versions: FastMap<_, _> = [(model(), WeightVersion(1))].into_iter().collect();
     let (port, orders) =
         engines(EngineReport { versions, start_ms: Some(200), ..EngineReport::default() });
     let rollout = Rc::new(RefCell::new(VersionRollout::default()));
-    let duty = OrderTask::new(Rc::clone(&parts), (free_lease(), port), 0, rollout);
+    let duty = OrderTask::new(Rc::clone(&context), (free_lease(), port), 0, rollout);
 
     let run = async {
-        while parts.upstreams.borrow().may_send(&before.id) {
+        while context.upstreams.borrow().may_send(&before.id) {
             sleep(Duration::from_millis(5)).await;
         }
         let was_ordered = !orders.borrow().is_empty();
-        parts.upstreams.borrow_mut().note_entry(after.clone());
+        context.upstreams.borrow_mut().note_entry(after.clone());
         while orders.borrow().is_empty() {
             sleep(Duration::from_millis(5)).await;
         }
@@ -95,9 +95,9 @@
     // Sequence: the holder is cut off from the store; the others look at its lease every 0.7 s, and
     // count its end from when they saw the last renewal.
     // Cause: their reads did not wait for the next renewal.
-    let parts = Rc::new(serve_context("d1"));
-    parts.upstreams.borrow_mut().note_entry(engine("e", 1));
-    parts.targets.borrow_mut().offer(&model(), WeightVersion(2), Moment::now());
+    let context = Rc::new(serve_context("d1"));
+    context.upstreams.borrow_mut().note_entry(engine("e", 1));
+    context.targets.borrow_mut().offer(&model(), WeightVersion(2), Moment::now());
     let waits = Rc::new(RefCell::new(Vec::new()));
     let asked = Rc::clone(&waits);
     let held =
@@ -111,7 +111,7 @@
         request: Rc::new(|_, _| Box::pin(async { Ok(()) })),
     };
     let (port, _) = engines(EngineReport::default());
-    let duty = OrderTask::new(parts, (lease, port), 0, Rc::default());
+    let duty = OrderTask::new(context, (lease, port), 0, Rc::default());
 
     let watched = async {
         while waits.borrow().len() < 3 {
--- a/crates/guava-serve/tests/part_duty.rs
+++ b/crates/guava-serve/tests/part_duty.rs
@@ -33,9 +33,9 @@
     // Sequence: a daemon starts; it reads the configuration some milliseconds later, and takes
     // prompts.
     // Cause: it looked for stores once, without a configuration, and then half a second later.
-    let parts = Rc::new(serve_context("d1"));
+    let context = Rc::new(serve_context("d1"));
     let followed = Rc::new(RefCell::new(Vec::new()));
-    let duty = follow_stores(Rc::clone(&parts), Rc::new(empty_stores()), Rc::clone(&followed));
+    let duty = follow_stores(Rc::clone(&context), Rc::new(empty_stores()), Rc::clone(&followed));
 
     let waited = LocalSet::new()
         .run_until(async {
@@ -43,7 +43,7 @@
             sleep(Duration::from_millis(10)).await;
             let stores = vec![(*store("s1", 1)).clone()];
             take_config(
-                &parts,
+                &context,
                 ServeConfig::new(guava_serve::ConfigParts { stores, ..config_parts(1) }),
             );
             let known = Instant::now();
--- a/crates/guava-serve/tests/peer_exchange.rs
+++ b/crates/guava-serve/tests/peer_exchange.rs
@@ -33,14 +33,14 @@
 }
 
 /// Makes a daemon that knows the others' records one that stands by to read the store.
-fn behind_another(parts: &ServeContext) {
-    parts.members.borrow_mut().note_listed();
-    let name = &parts.identity.name;
+fn behind_another(context: &ServeContext) {
+    context.members.borrow_mut().note_listed();
+    let name = &context.identity.name;
     for place in 0.. {
-        if parts.members.borrow().reader_rank(name, NOW) > 0 {
+        if context.members.borrow().reader_rank(name, NOW) > 0 {
             return;
         }
-        parts.members.borrow_mut().note_from_peer(note(&format!("other{place}")), NOW);
+        context.members.borrow_mut().note_from_peer(note(&format!("other{place}")), NOW);
     }
 }
 
@@ -131,10 +131,10 @@
     // Sequence: the reader's digest changes, and the others' do not.
     // Cause: only the digest was told.
     let (reader, other) = (serve_context("d1"), serve_context("d2"));
-    for parts in [&reader, &other] {
-        parts.upstreams.borrow_mut().note_entry(upstream("a", "app"));
-        let digest = parts.upstreams.borrow().digest();
-        parts.reads.borrow_mut().list.note_own(digest, Moment(NOW.0 - 500));
+    for context in [&reader, &other] {
+        context.upstreams.borrow_mut().note_entry(upstream("a", "app"));
+        let digest = context.upstreams.borrow().digest();
+        context.reads.borrow_mut().list.note_own(digest, Moment(NOW.0 - 500));
     }
     let change = ListedChange::Entry(leaving(upstream("a", "app")));
     assert_eq!(take_change(&reader, change.clone(), ListSource::Store, NOW), ListChange::Leaving);
@@ -363,9 +363,9 @@
     // Cause: changes beyond that were forgotten, and the digest differed at all others.
     let (reader, other) = (serve_context("d1"), serve_context("d2"));
     reader.members.borrow_mut().note_listed();
-    for parts in [&reader, &other] {
-        let digest = parts.upstreams.borrow().digest();
-        parts.reads.borrow_mut().list.note_own(digest, Moment(NOW.0 - 500));
+    for context in [&reader, &other] {
+        let digest = context.upstreams.borrow().digest();
+        context.reads.borrow_mut().list.note_own(digest, Moment(NOW.0 - 500));
     }
     for number in 0..160 {
         let change = ListedChange::Entry(upstream(&format!("u{number}"), "app"));
@@ -400,8 +400,8 @@
     let other_turn = STANDBYS + 1;
     let (reader, other) = (serve_context("d1"), serve_context("d2"));
     reader.members.borrow_mut().note_listed();
-    for parts in [&reader, &other] {
-        parts.reads.borrow_mut().operator.note_own(12, Moment(NOW.0 - 500));
+    for context in [&reader, &other] {
+        context.reads.borrow_mut().operator.note_own(12, Moment(NOW.0 - 500));
     }
     reader.targets.borrow_mut().offer(&model(), WeightVersion(2), Moment(NOW.0 - 20));
     reader.reads.borrow_mut().operator.note_own(13, NOW);
@@ -514,9 +514,9 @@
     // Evidence: at a daemon that sent an engine work 3.6 s after it left, the log has "gone", "added",
     // "gone", "added", "gone", "added" for it within 0.9 s, and the send 2.6 s later.
     let (behind, ahead) = (serve_context("d1"), serve_context("d2"));
-    for parts in [&behind, &ahead] {
-        take_change(parts, engine_record(1, 10), ListSource::Store, NOW);
-        parts.upstreams.borrow_mut().order().note_position(ListRevision(11));
+    for context in [&behind, &ahead] {
+        take_change(context, engine_record(1, 10), ListSource::Store, NOW);
+        context.upstreams.borrow_mut().order().note_position(ListRevision(11));
     }
     take_change(&behind, engine_record(2, 11), ListSource::Store, NOW);
     behind.list_changes.borrow_mut().note(engine_record(2, 11), NOW);
--- a/crates/guava-serve/tests/retry_pause.rs
+++ b/crates/guava-serve/tests/retry_pause.rs
@@ -53,7 +53,7 @@
 
 #[test]
 fn daemon_without_a_configuration_asks_often_whatever_its_turn() {
-    let parts = serve_context("d1");
+    let context = serve_context("d1");
     for place in 0..100 {
         let note = MemberDescriptor {
             name: format!("other{place}").parse().unwrap(),
@@ -62,11 +62,11 @@
             caller_address: address(place),
             is_ready: true,
         };
-        parts.members.borrow_mut().note_from_peer(note, Moment::now());
+        context.members.borrow_mut().note_from_peer(note, Moment::now());
     }
-    parts.members.borrow_mut().note_listed();
-    let name = &parts.identity.name;
-    assert!(parts.members.borrow().reader_rank(name, Moment::now()) > STANDBYS);
+    context.members.borrow_mut().note_listed();
+    let name = &context.identity.name;
+    assert!(context.members.borrow().reader_rank(name, Moment::now()) > STANDBYS);
 
-    assert!(is_read_urgent(&parts));
+    assert!(is_read_urgent(&context));
 }
--- a/crates/guava-serve/tests/send_gate.rs
+++ b/crates/guava-serve/tests/send_gate.rs
@@ -196,13 +196,13 @@
 
 /// A daemon that knows an upstream in a data centre.
 fn daemon(own_name: &str) -> ServeContext {
-    let parts = serve_context(own_name);
-    parts.upstreams.borrow_mut().note_entry(upstream("u", "app"));
-    parts
+    let context = serve_context(own_name);
+    context.upstreams.borrow_mut().note_entry(upstream("u", "app"));
+    context
 }
 
-fn is_closed(parts: &ServeContext) -> bool {
-    !closed_upstreams(parts, &app_rule(), Moment::now()).is_empty()
+fn is_closed(context: &ServeContext) -> bool {
+    !closed_upstreams(context, &app_rule(), Moment::now()).is_empty()
 }
 
 fn pass(message: &PeerMessage, to: &ServeContext) {
@@ -212,16 +212,16 @@
 
 #[test]
 fn drained_data_centre_gets_nothing_until_it_is_taken_back() {
-    let parts = daemon("d1");
+    let context = daemon("d1");
     let id = upstream("u", "app").id;
 
-    take_drain(&parts, &drain(5, true), Moment::now());
+    take_drain(&context, &drain(5, true), Moment::now());
     let while_drained =
-        (is_closed(&parts), pass_gate(&parts, &app_rule(), &id, Moment::now()).is_open());
-    take_drain(&parts, &drain(6, false), Moment::now());
+        (is_closed(&context), pass_gate(&context, &app_rule(), &id, Moment::now()).is_open());
+    take_drain(&context, &drain(6, false), Moment::now());
 
     assert_eq!(while_drained, (true, false));
-    assert!(!parts.drains.borrow().is_drained(&"east".parse().unwrap()));
+    assert!(!context.drains.borrow().is_drained(&"east".parse().unwrap()));
 }
 
 #[test]
@@ -308,11 +308,11 @@
 #[test]
 fn address_of_a_drained_daemon_is_still_told_to_callers() {
     // Only upstreams of a drained data centre rest; its daemons serve.
-    let parts = daemon("d1");
-    take_drain(&parts, &drain(5, true), Moment::now());
-    parts.members.borrow_mut().note_from_peer(note("d2"), Moment::now());
+    let context = daemon("d1");
+    take_drain(&context, &drain(5, true), Moment::now());
+    context.members.borrow_mut().note_from_peer(note("d2"), Moment::now());
 
-    assert_eq!(parts.members.borrow().caller_addresses(Moment::now()), [address(2)]);
+    assert_eq!(context.members.borrow().caller_addresses(Moment::now()), [address(2)]);
 }
 
 /// Most sends in any four seconds.
@@ -412,35 +412,35 @@
 
 #[test]
 fn list_that_has_a_leaving_upstream_as_serving_brings_it_no_work() {
-    let parts = daemon("d1");
+    let context = daemon("d1");
     let entry = upstream("u", "app");
-    note_announcements(&parts, &entry.id, &says_leaving(), Moment::now());
+    note_announcements(&context, &entry.id, &says_leaving(), Moment::now());
 
-    parts.upstreams.borrow_mut().note_entry(entry.clone());
-    let after_heartbeat = is_closed(&parts);
-    parts.upstreams.borrow_mut().note_removed(&entry.id, Moment::now());
-    parts.upstreams.borrow_mut().note_entry(entry);
+    context.upstreams.borrow_mut().note_entry(entry.clone());
+    let after_heartbeat = is_closed(&context);
+    context.upstreams.borrow_mut().note_removed(&entry.id, Moment::now());
+    context.upstreams.borrow_mut().note_entry(entry);
     note_announcements(
-        &parts,
+        &context,
         &upstream("u", "app").id,
         &UpstreamAnnouncements::default(),
         Moment::now(),
     );
 
     assert!(after_heartbeat);
-    assert!(is_closed(&parts), "listed anew under the same id");
+    assert!(is_closed(&context), "listed anew under the same id");
 }
 
 #[test]
 fn next_start_of_an_upstream_that_left_gets_work() {
-    let parts = daemon("d1");
+    let context = daemon("d1");
     let id = upstream("u", "app").id;
-    note_announcements(&parts, &id, &says_leaving(), Moment::now());
+    note_announcements(&context, &id, &says_leaving(), Moment::now());
 
     let next = UpstreamEntry { id: id.started_at(7), ..upstream("u", "app") };
-    parts.upstreams.borrow_mut().note_entry(next);
+    context.upstreams.borrow_mut().note_entry(next);
 
-    assert!(!is_closed(&parts));
+    assert!(!is_closed(&context));
 }
 
 #[test]
--- a/crates/guava-serve/tests/support/served.rs
+++ b/crates/guava-serve/tests/support/served.rs
@@ -59,7 +59,7 @@
 }
 
 /// A daemon that knows these upstreams of the plain service, `u0` and so on.
-pub fn parts(upstreams: &[&ScriptedUpstream]) -> Rc<ServeContext> {
+pub fn context(upstreams: &[&ScriptedUpstream]) -> Rc<ServeContext> {
     let identity = ServeIdentity {
         name: "d1".parse().unwrap(),
         data_centre: "east".parse().unwrap(),
@@ -73,13 +73,13 @@
         cold_times: 1.0,
         held_bytes: 1 << 20,
     };
-    let parts = Rc::new(ServeContext::new(identity, bounds, dialect()));
+    let context = Rc::new(ServeContext::new(identity, bounds, dialect()));
     for (index, scripted) in upstreams.iter().enumerate() {
         let entry = upstream(&format!("u{index}"), "app");
         let entry = UpstreamEntry { address: scripted.address, ..entry };
-        parts.upstreams.borrow_mut().note_entry(entry);
+        context.upstreams.borrow_mut().note_entry(entry);
     }
-    parts
+    context
 }
 
 /// What a caller gets.
--- a/crates/guava-serve/tests/upstream_ends.rs
+++ b/crates/guava-serve/tests/upstream_ends.rs
@@ -20,23 +20,23 @@
 const CRASHING: RequestDigest = RequestDigest(7);
 const CONCURRENT: RequestDigest = RequestDigest(8);
 
-fn summary(parts: &ServeContext, name: &str) -> PeerMessage {
-    compose_message(parts, news(name), Moment::now())
+fn summary(context: &ServeContext, name: &str) -> PeerMessage {
+    compose_message(context, news(name), Moment::now())
 }
 
 /// A daemon that knows some upstreams.
 fn daemon(name: &str) -> Rc<ServeContext> {
-    let parts = serve_context(name);
+    let context = serve_context(name);
     for number in 0..200 {
-        parts.upstreams.borrow_mut().note_entry(upstream(&format!("u{number}"), "app"));
+        context.upstreams.borrow_mut().note_entry(upstream(&format!("u{number}"), "app"));
     }
-    Rc::new(parts)
+    Rc::new(context)
 }
 
 /// An upstream ended at a daemon under these requests, each by itself.
-fn end_at(parts: &ServeContext, number: usize, requests: &[RequestDigest]) {
+fn end_at(context: &ServeContext, number: usize, requests: &[RequestDigest]) {
     let at = Moment::now().minus_millis(100 * number as u64);
-    note_upstream_crash(parts, &id(&format!("u{number}")), requests.to_vec(), at);
+    note_upstream_crash(context, &id(&format!("u{number}")), requests.to_vec(), at);
 }
 
 /// Passes messages on as bytes.
@@ -53,8 +53,8 @@
     pass(&compose_crash_notices(from, &note(name), Moment::now()), to);
 }
 
-fn is_stopped(parts: &ServeContext, request: RequestDigest) -> bool {
-    parts.ledger.borrow().quarantined_until(request, Moment::now()).is_some()
+fn is_stopped(context: &ServeContext, request: RequestDigest) -> bool {
+    context.ledger.borrow().quarantined_until(request, Moment::now()).is_some()
 }
 
 #[test]
@@ -92,8 +92,8 @@
 fn ends_of_one_moment_told_by_several_daemons_count_as_one() {
     let (one, two, three) = (daemon("d1"), daemon("d2"), daemon("d3"));
     let at = Moment::now().minus_millis(1_000);
-    let ended = |parts: &ServeContext, number: usize| {
-        note_upstream_crash(parts, &id(&format!("u{number}")), vec![CONCURRENT], at);
+    let ended = |context: &ServeContext, number: usize| {
+        note_upstream_crash(context, &id(&format!("u{number}")), vec![CONCURRENT], at);
     };
     (0..2).for_each(|number| ended(&one, number));
     ended(&two, 2);
@@ -152,8 +152,8 @@
     tell_at_once(&one, "d1", &two);
 
     let now = Moment::now();
-    let has_crashed = |parts: &ServeContext, number| {
-        parts.upstreams.borrow().has_crashed(&id(&format!("u{number}")), now)
+    let has_crashed = |context: &ServeContext, number| {
+        context.upstreams.borrow().has_crashed(&id(&format!("u{number}")), now)
     };
     assert!((0..200).all(|number| has_crashed(&one, number)));
     assert!(!(0..200).any(|number| has_crashed(&two, number)));
@@ -203,15 +203,15 @@
 
 #[test]
 fn upstream_that_leaves_ends_through_nobodys_fault() {
-    let parts = daemon("d1");
+    let context = daemon("d1");
     for number in 0..3 {
         let mut entry = upstream(&format!("u{number}"), "app");
         entry.is_leaving = true;
-        parts.upstreams.borrow_mut().note_entry(entry);
-        end_at(&parts, number, &[CONCURRENT]);
+        context.upstreams.borrow_mut().note_entry(entry);
+        end_at(&context, number, &[CONCURRENT]);
     }
 
-    assert!(!is_stopped(&parts, CONCURRENT) && parts.ledger.borrow().is_empty());
+    assert!(!is_stopped(&context, CONCURRENT) && context.ledger.borrow().is_empty());
 }
 
 #[test]
@@ -317,10 +317,10 @@
 }
 
 /// Runs the duty of a daemon that is the only one until something holds.
-fn keep_until(parts: &Rc<ServeContext>, store: &Rc<PlayedStore>, holds: impl Fn() -> bool) {
+fn keep_until(context: &Rc<ServeContext>, store: &Rc<PlayedStore>, holds: impl Fn() -> bool) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let duty = tokio::task::spawn_local(persist_quarantines(Rc::clone(parts), store.port()));
+        let duty = tokio::task::spawn_local(persist_quarantines(Rc::clone(context), store.port()));
         let deadline = Deadline::in_millis(10_000);
         while !holds() {
             assert!(!deadline.passed(Moment::now()), "it does not come to hold");
@@ -331,9 +331,9 @@
 }
 
 fn alone() -> Rc<ServeContext> {
-    let parts = daemon("d1");
-    parts.members.borrow_mut().note_listed();
-    parts
+    let context = daemon("d1");
+    context.members.borrow_mut().note_listed();
+    context
 }
 
 #[test]
@@ -353,35 +353,35 @@
 fn stopped_request_is_written_once_the_store_is_back() {
     let store = Rc::new(PlayedStore::default());
     store.is_unavailable.set(true);
-    let parts = alone();
-    (0..3).for_each(|number| end_at(&parts, number, &[CRASHING]));
+    let context = alone();
+    (0..3).for_each(|number| end_at(&context, number, &[CRASHING]));
 
-    keep_until(&parts, &store, || store.reads.get() >= 2);
+    keep_until(&context, &store, || store.reads.get() >= 2);
     store.is_unavailable.set(false);
-    keep_until(&parts, &store, || store.records.borrow().len() == 1);
+    keep_until(&context, &store, || store.records.borrow().len() == 1);
 
-    assert!(is_stopped(&parts, CRASHING));
+    assert!(is_stopped(&context, CRASHING));
 }
 
 #[test]
 fn record_of_a_request_that_was_cleared_is_dropped() {
     let store = Rc::new(PlayedStore::default());
-    let parts = alone();
+    let context = alone();
     store.records.borrow_mut().push(QuarantineRecord { request: CONCURRENT, times: 1 });
-    let (clearing, stored) = (Rc::clone(&parts), Rc::clone(&store));
+    let (clearing, stored) = (Rc::clone(&context), Rc::clone(&store));
 
-    keep_until(&parts, &store, move || {
+    keep_until(&context, &store, move || {
         // It is answered after all: its run was under way when it was stopped.
         clearing.ledger.borrow_mut().note_answer(CONCURRENT, Moment::now());
         stored.records.borrow().is_empty()
     });
 
-    assert!(!is_stopped(&parts, CONCURRENT));
+    assert!(!is_stopped(&context, CONCURRENT));
 }
 
 #[test]
 fn end_of_an_upstream_that_is_not_listed_here_counts() {
-    let parts = daemon("d1");
+    let context = daemon("d1");
     let strangers = (0..3).map(|number| CrashNotice {
         upstream: id(&format!("stranger{number}")),
         at: Moment::now().minus_millis(100 * number),
@@ -389,7 +389,7 @@
     });
     let message = PeerMessage { ended: strangers.collect(), ..summary(&daemon("d2"), "d2") };
 
-    pass(&[message], &parts);
+    pass(&[message], &context);
 
-    assert!(is_stopped(&parts, CRASHING));
+    assert!(is_stopped(&context, CRASHING));
 }
--- a/crates/guava-serve/tests/weights.rs
+++ b/crates/guava-serve/tests/weights.rs
@@ -113,11 +113,11 @@
 }
 
 fn parts_with_engines(versions: &[(&str, u64)]) -> ServeContext {
-    let parts = serve_context("d1");
+    let context = serve_context("d1");
     for (name, version) in versions {
-        parts.upstreams.borrow_mut().note_entry(engine(name, *version));
+        context.upstreams.borrow_mut().note_entry(engine(name, *version));
     }
-    parts
+    context
 }
 
 #[test]
@@ -128,10 +128,10 @@
     // have the least work, so they are asked first, and are busy.
     // Cause: a busy engine was taken for one that had been given the new order, and held one of
     // the few places for loads until that order expired.
-    let parts = parts_with_engines(&[("e", 1)]);
-    parts.targets.borrow_mut().offer(&model(), WeightVersion(3), Moment(1_000));
+    let context = parts_with_engines(&[("e", 1)]);
+    context.targets.borrow_mut().offer(&model(), WeightVersion(3), Moment(1_000));
     let mut rollout = VersionRollout::default();
-    rollout.refresh(&parts, Moment(1_000));
+    rollout.refresh(&context, Moment(1_000));
 
     rollout.note_busy(&model(), &id("e"), Moment(10_000));
 
@@ -141,13 +141,13 @@
 
 #[test]
 fn rollout_ends_when_all_engines_have_the_weights() {
-    let parts = parts_with_engines(&[("a", 2), ("b", 1)]);
-    parts.targets.borrow_mut().offer(&model(), WeightVersion(2), Moment(1_000));
+    let context = parts_with_engines(&[("a", 2), ("b", 1)]);
+    context.targets.borrow_mut().offer(&model(), WeightVersion(2), Moment(1_000));
     let mut rollout = VersionRollout::default();
 
-    let before = rollout.refresh(&parts, Moment(2_000));
+    let before = rollout.refresh(&context, Moment(2_000));
     rollout.note_done(&model(), &id("b"), Moment(2_000));
-    let after = rollout.refresh(&parts, Moment(2_000));
+    let after = rollout.refresh(&context, Moment(2_000));
 
     assert!(before);
     assert!(!after);
