--- a/crates/guava-daemon/src/peer_table.rs
+++ b/crates/guava-daemon/src/peer_table.rs
@@ -156,7 +156,7 @@
         self.iter()
             .map(|(incarnation, entry)| PeerObservation {
                 incarnation,
-                heard: entry.made,
+                last_contact: entry.made,
                 log: entry.log,
             })
             .collect()
--- a/crates/guava-serve/src/config_intake.rs
+++ b/crates/guava-serve/src/config_intake.rs
@@ -6,7 +6,7 @@
 use guava_log::log_event;
 
 /// Takes a configuration in as it was read.
-pub fn take_config(context: &ServeContext, config: ServeConfig) {
+pub fn apply_config(context: &ServeContext, config: ServeConfig) {
     let version = config.version;
     let services = config.services().map(|service| service.name.clone()).collect();
     if !context.config.borrow_mut().offer(config) {
--- a/crates/guava-serve/src/lib.rs
+++ b/crates/guava-serve/src/lib.rs
@@ -16,18 +16,18 @@
 mod upstreams;
 mod weights;
 
-pub use config_intake::take_config;
-pub use members::list_changes::ListChanges;
+pub use config_intake::apply_config;
+pub use members::list_change_gossip::ListChangeGossip;
 pub use members::lost_messages::{LostMessages, MessageLoss};
 pub use members::member_table::{MemberDescriptor, MemberTable};
 pub use members::message_split::datagrams;
 pub use members::peer_exchange::{
-    ListSource, OwnSummary, compose_announcements, compose_crash_notices, compose_immediate,
-    compose_initial_sync, compose_message, compose_reads, take_change, take_drain, take_message,
-    take_version,
+    ListSource, OwnSummary, apply_change, apply_drain, apply_message, apply_version,
+    compose_announcements, compose_crash_notices, compose_immediate, compose_initial_sync,
+    compose_message, compose_reads,
 };
 pub use members::peer_message::{
-    ListedChange, LoadedVersion, MAX_DATAGRAM_BYTES, PeerMessage, PublishedVersion,
+    ListChange, LoadedVersion, MAX_DATAGRAM_BYTES, PeerMessage, PublishedVersion,
 };
 pub use members::peer_task::{
     OwnState, receive_messages, send_immediate, send_read_marks, send_summaries,
@@ -60,7 +60,7 @@
 pub use request::engine_choice::{EngineChoice, choose_engine};
 pub use request::engine_input::EngineInput;
 pub use request::event_framer::{EventBatch, EventFramer};
-pub use request::fresh_state::{await_fresh_config, is_stale};
+pub use request::freshness_wait::{await_fresh_config, is_stale};
 pub use request::http_listener::{ConnectionLimits, ListenerPhase, open_listener, serve_listener};
 pub use request::outcome::{RefusalReason, SendRecord, ServeOutcome};
 pub use request::request_plan::draw_service;
@@ -88,7 +88,9 @@
 pub use upstreams::quarantine_task::{is_read_due, persist_quarantines};
 pub use upstreams::upstream_call::{call_store, call_upstream};
 pub use upstreams::upstream_crashes::{note_request_answered, note_upstream_crash};
-pub use upstreams::upstream_table::{ListChange, UpstreamEntry, UpstreamTable, WeightVersion};
+pub use upstreams::upstream_table::{
+    ListChangeEffect, UpstreamEntry, UpstreamTable, WeightVersion,
+};
 pub use upstreams::work_table::{ExpectedLoad, WorkShare, WorkTable, WorkTicket};
 pub use weights::order_task::OrderTask;
 pub use weights::rollout_state::{VersionRollout, is_salt_unreferenced};
--- a/crates/guava-serve/src/members.rs
+++ b/crates/guava-serve/src/members.rs
@@ -1,6 +1,6 @@
 //! The daemons: who there is, what they tell each other, and what they know through each other.
 
-pub(crate) mod list_changes;
+pub(crate) mod list_change_gossip;
 pub(crate) mod lost_messages;
 pub(crate) mod member_table;
 pub(crate) mod message_split;
--- a/crates/guava-serve/src/members/list_changes.rs
+++ b/crates/guava-serve/src/members/list_change_gossip.rs
@@ -1,6 +1,6 @@
 //! Changes of the list of upstreams that this daemon read and tells its peers.
 
-use crate::members::peer_message::ListedChange;
+use crate::members::peer_message::ListChange;
 use guava_types::{Deadline, Moment};
 use std::collections::VecDeque;
 
@@ -15,13 +15,13 @@
 
 /// The changes.
 #[derive(Debug, Default)]
-pub struct ListChanges {
-    changes: VecDeque<(ListedChange, Deadline)>,
+pub struct ListChangeGossip {
+    changes: VecDeque<(ListChange, Deadline)>,
 }
 
-impl ListChanges {
+impl ListChangeGossip {
     /// Notes a change; an earlier one of the same upstream is told no more.
-    pub fn note(&mut self, change: ListedChange, now: Moment) {
+    pub fn note(&mut self, change: ListChange, now: Moment) {
         self.changes.retain(|(before, _)| before.id() != change.id());
         if self.changes.len() >= MOST_KEPT {
             self.changes.pop_front();
@@ -30,7 +30,7 @@
     }
 
     /// The changes to tell now; more than one datagram holds, if many came at once.
-    pub fn told(&mut self, now: Moment) -> Vec<ListedChange> {
+    pub fn told(&mut self, now: Moment) -> Vec<ListChange> {
         while self.changes.front().is_some_and(|(_, until)| until.passed(now)) {
             self.changes.pop_front();
         }
--- a/crates/guava-serve/src/members/member_table.rs
+++ b/crates/guava-serve/src/members/member_table.rs
@@ -49,7 +49,7 @@
 
 #[derive(Clone, Debug)]
 struct MemberEntry {
-    note: MemberDescriptor,
+    member: MemberDescriptor,
     /// Nothing if it is only known by its record in the store.
     heard: Option<Moment>,
     listed: Moment,
@@ -83,26 +83,26 @@
     }
 
     /// Pause between two of this daemon's messages to those of its data centre, in milliseconds.
-    pub fn near_pause_ms(&self) -> u64 {
+    pub fn local_interval_ms(&self) -> u64 {
         NEAR_PAUSE_MS.max(self.near as u64 * MESSAGE_MS)
     }
 
     /// Pause between two of this daemon's messages to other data centres, in milliseconds.
-    pub fn far_pause_ms(&self) -> u64 {
+    pub fn remote_interval_ms(&self) -> u64 {
         FAR_PAUSE_MS.max((self.members.len() - self.near) as u64 * MESSAGE_MS)
     }
 
     /// Time after which a daemon of a data centre counts as silent, in milliseconds.
     pub fn silent_ms(&self, data_centre: &DataCentre) -> u64 {
         if *data_centre == self.data_centre {
-            SILENT_MS.max(self.near_pause_ms() * SILENT_PAUSES)
+            SILENT_MS.max(self.local_interval_ms() * SILENT_PAUSES)
         } else {
-            REMOTE_SILENT_MS.max(self.far_pause_ms() * 5 / 2)
+            REMOTE_SILENT_MS.max(self.remote_interval_ms() * 5 / 2)
         }
     }
 
     fn count_near(&mut self) {
-        let is_near = |entry: &&MemberEntry| entry.note.data_centre == self.data_centre;
+        let is_near = |entry: &&MemberEntry| entry.member.data_centre == self.data_centre;
         self.near = self.members.values().filter(is_near).count();
     }
 
@@ -110,13 +110,13 @@
     pub fn note_record(&mut self, note: MemberDescriptor, now: Moment) {
         let entry = self.members.entry(note.name.clone());
         let entry = entry.or_insert_with(|| MemberEntry {
-            note: note.clone(),
+            member: note.clone(),
             heard: None,
             listed: now,
             is_leaving: false,
         });
         if entry.heard.is_none() {
-            entry.note = note;
+            entry.member = note;
         }
         self.count_near();
     }
@@ -130,11 +130,11 @@
     pub fn note_from_peer(&mut self, note: MemberDescriptor, now: Moment) -> bool {
         let entry = self.members.get(&note.name);
         let before = entry.and_then(|entry| entry.heard);
-        let was_serving = entry.is_some_and(|entry| entry.note.is_ready || entry.is_leaving);
+        let was_serving = entry.is_some_and(|entry| entry.member.is_ready || entry.is_leaving);
         let is_leaving = was_serving && !note.is_ready;
         let silent_ms = self.silent_ms(&note.data_centre);
         let name = note.name.clone();
-        let entry = MemberEntry { note, heard: Some(now), listed: now, is_leaving };
+        let entry = MemberEntry { member: note, heard: Some(now), listed: now, is_leaving };
         if self.members.insert(name, entry).is_none() {
             self.count_near();
         }
@@ -150,7 +150,7 @@
 
     /// Addresses of all daemons that may be there, or only of those in this data centre.
     pub fn peer_addresses(&self, only_near: bool) -> Vec<SocketAddr> {
-        let notes = self.members.values().map(|entry| &entry.note);
+        let notes = self.members.values().map(|entry| &entry.member);
         let addressed = notes.filter(|note| !only_near || note.data_centre == self.data_centre);
         addressed.map(|note| note.peer_address).collect()
     }
@@ -171,9 +171,9 @@
         let number = number.wrapping_add(own_offset(me));
         let mut by_centre: FastMap<&DataCentre, Vec<&MemberDescriptor>> = FastMap::default();
         let mut silent: FastMap<&DataCentre, Vec<&MemberDescriptor>> = FastMap::default();
-        for entry in self.members.values().filter(|e| e.note.data_centre != self.data_centre) {
+        for entry in self.members.values().filter(|e| e.member.data_centre != self.data_centre) {
             let group = if self.is_living(entry, now) { &mut by_centre } else { &mut silent };
-            group.entry(&entry.note.data_centre).or_default().push(&entry.note);
+            group.entry(&entry.member.data_centre).or_default().push(&entry.member);
         }
         for (centre, notes) in silent {
             by_centre.entry(centre).or_insert(notes);
@@ -189,7 +189,7 @@
     /// Daemons heard lately.
     pub fn living(&self, now: Moment) -> impl Iterator<Item = &MemberDescriptor> {
         let living = self.members.values().filter(move |entry| self.is_living(entry, now));
-        living.map(|entry| &entry.note)
+        living.map(|entry| &entry.member)
     }
 
     fn is_living(&self, entry: &MemberEntry, now: Moment) -> bool {
@@ -207,8 +207,8 @@
     }
 
     /// How many daemons there are for each one whose prompts this daemon hears of at once.
-    pub fn stands_for(&self) -> f64 {
-        let is_reachable = |entry: &&MemberEntry| self.gets_immediate(&entry.note.data_centre);
+    pub fn sampling_factor(&self) -> f64 {
+        let is_reachable = |entry: &&MemberEntry| self.gets_immediate(&entry.member.data_centre);
         let heard = 1 + self.members.values().filter(is_reachable).count();
         self.count() as f64 / heard as f64
     }
@@ -239,7 +239,7 @@
 
     /// This daemon's place among the daemons of its data centre that share a duty.
     pub fn local_rank(&self, me: &MemberName, subject: &str, now: Moment) -> usize {
-        let is_near = |entry: &MemberEntry| entry.note.data_centre == self.data_centre;
+        let is_near = |entry: &MemberEntry| entry.member.data_centre == self.data_centre;
         self.turn_among(me, subject, |entry| is_near(entry) && self.has_duties(entry, now))
     }
 
@@ -257,8 +257,9 @@
     ) -> usize {
         let weight = |name: &MemberName| rendezvous_weight(&(subject, name), 1.0);
         let own = weight(me);
-        let others = self.members.values().filter(|entry| entry.note.name != *me && counts(entry));
-        others.filter(|entry| weight(&entry.note.name) > own).count()
+        let others =
+            self.members.values().filter(|entry| entry.member.name != *me && counts(entry));
+        others.filter(|entry| weight(&entry.member.name) > own).count()
     }
 
     /// Whether duties are shared with a daemon. One that leaves hands its duties over while it still
@@ -271,7 +272,7 @@
     /// Whether a daemon lives as far as can be told, or has only just been found: one that starts
     /// hears nobody yet, and would do every duty of a daemon that is alone.
     fn is_expected(&self, entry: &MemberEntry, now: Moment) -> bool {
-        let silent_ms = self.silent_ms(&entry.note.data_centre);
+        let silent_ms = self.silent_ms(&entry.member.data_centre);
         now.millis_since(entry.heard.unwrap_or(entry.listed)) <= silent_ms
     }
 
--- a/crates/guava-serve/src/members/peer_exchange.rs
+++ b/crates/guava-serve/src/members/peer_exchange.rs
@@ -1,20 +1,20 @@
 //! What a daemon tells its peers, and what it takes from their messages.
 
 use crate::events;
-use crate::members::list_changes::MOST_TOLD;
+use crate::members::list_change_gossip::MOST_TOLD;
 use crate::members::member_table::MemberDescriptor;
-use crate::members::peer_message::{ListedChange, LoadedVersion, PeerMessage, PublishedVersion};
+use crate::members::peer_message::{ListChange, LoadedVersion, PeerMessage, PublishedVersion};
 use crate::members::shared_reads::{ReadMark, ReadTracker, STANDBYS};
 use crate::parts::part_index::StoreUpdate;
 use crate::serve_context::{ServeContext, UpstreamClock};
 use crate::upstreams::announcement_watch::{
-    AnnouncementBatch, summary_announcements, take_leaving, take_limit, urgent_announcements,
+    AnnouncementBatch, apply_leaving, apply_limit, summary_announcements, urgent_announcements,
 };
 use crate::upstreams::crash_notice::CrashNotice;
 use crate::upstreams::drain_table::DrainNotice;
 use crate::upstreams::quarantine_record::QuarantineSync;
-use crate::upstreams::upstream_crashes::{take_cleared, take_crash, take_quarantine};
-use crate::upstreams::upstream_table::ListChange;
+use crate::upstreams::upstream_crashes::{apply_cleared, apply_crash, apply_quarantine};
+use crate::upstreams::upstream_table::ListChangeEffect;
 use guava_log::log_event;
 use guava_policy::{ClearNotice, QuarantineNotice};
 use guava_types::{Deadline, MemberName, Moment, TokenCount, UpstreamId};
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug)]
 pub struct OwnSummary {
     /// This daemon.
-    pub note: MemberDescriptor,
+    pub member: MemberDescriptor,
     /// Upstreams that load new weights at its order.
     pub loading: Vec<UpstreamId>,
     /// Engines that lately got their weights by its order.
@@ -57,12 +57,12 @@
     let work = context.work.borrow();
     let shares = work.own_shares().map(|(id, share)| (id.clone(), share)).collect();
     let reads = context.reads.borrow();
-    let listed = context.list_changes.borrow_mut().told(now);
+    let listed = context.list_change_gossip.borrow_mut().told(now);
     let announcements = summary_announcements(context, now);
     // A digest without all changes behind it would make everybody read the list.
     let is_list_told = listed.len() <= MOST_TOLD;
     PeerMessage {
-        note: news.note,
+        member: news.member,
         shares,
         sent: std::mem::take(&mut context.sent_prompts.borrow_mut()),
         loading: news.loading,
@@ -171,8 +171,8 @@
     if operator.is_none() && list.is_none() {
         return Vec::new();
     }
-    let listed = context.list_changes.borrow_mut().told(now);
-    let message = |listed: &[ListedChange]| PeerMessage {
+    let listed = context.list_change_gossip.borrow_mut().told(now);
+    let message = |listed: &[ListChange]| PeerMessage {
         listed: listed.to_vec(),
         ..PeerMessage::empty(note.clone())
     };
@@ -224,7 +224,7 @@
         stores: vec![cut_to(word, MOST_PARTS)],
         clock_ms: context.upstream_clock_in(0, now),
         is_immediate: false,
-        ..PeerMessage::empty(news.note.clone())
+        ..PeerMessage::empty(news.member.clone())
     });
     told.collect()
 }
@@ -256,16 +256,16 @@
 }
 
 /// Takes a peer's message in.
-pub fn take_message(context: &ServeContext, message: PeerMessage, now: Moment) {
-    let name = message.note.name.clone();
+pub fn apply_message(context: &ServeContext, message: PeerMessage, now: Moment) {
+    let name = message.member.name.clone();
     if name == context.identity.name {
         return;
     }
-    let address = message.note.peer_address;
-    let is_ready = message.note.is_ready;
-    let data_centre = message.note.data_centre.clone();
+    let address = message.member.peer_address;
+    let is_ready = message.member.is_ready;
+    let data_centre = message.member.data_centre.clone();
     let gets_immediate = context.members.borrow().gets_immediate(&data_centre);
-    if context.members.borrow_mut().note_from_peer(message.note, now) {
+    if context.members.borrow_mut().note_from_peer(message.member, now) {
         log_event!(
             info,
             events::MEMBER_REACHABLE,
@@ -289,33 +289,33 @@
     let spoken_of = spoken_of.chain(message.loaded.iter().map(|loaded| &loaded.engine));
     spoken_of.chain(&message.loading).for_each(|id| note_start(context, id, &name));
     for change in message.listed {
-        take_change(context, change, ListSource::Peer(&name), now);
+        apply_change(context, change, ListSource::Peer(&name), now);
     }
     for target in message.targets {
         let learned = now.minus_millis(target.age_ms);
-        take_version(context, &target.model, target.version, learned, "peer");
+        apply_version(context, &target.model, target.version, learned, "peer");
     }
     for drain in &message.drains {
-        take_drain(context, drain, now);
+        apply_drain(context, drain, now);
     }
     for limit in &message.limits {
-        take_limit(context, limit, &name, now);
+        apply_limit(context, limit, &name, now);
     }
     for upstream in &message.leaving {
-        take_leaving(context, upstream, &name, now);
+        apply_leaving(context, upstream, &name, now);
     }
     if let (Some(mark), Some(since)) = (message.operator, message.published_since) {
         context.reads.borrow_mut().operator.note_skipped(since, mark.state);
     }
-    take_reads(context, message.operator, message.list);
+    apply_reads(context, message.operator, message.list);
     for end in &message.ended {
-        take_crash(context, end, now);
+        apply_crash(context, end, now);
     }
     for notice in message.cleared {
-        take_cleared(context, notice, now);
+        apply_cleared(context, notice, now);
     }
     for stop in message.stops {
-        take_quarantine(context, stop, now);
+        apply_quarantine(context, stop, now);
     }
     if message.knows_quarantines {
         context.quarantine_sync.set(QuarantineSync { is_known: true, told: now });
@@ -326,9 +326,9 @@
             context.work.borrow_mut().note_peer_sent(&name, sent, service_ms, now);
             let mut index = context.part_index.borrow_mut();
             index.note_sent(&sent.engine, &sent.parts, sent.tokens, now);
-            let stands_for = context.members.borrow().stands_for();
+            let sampling_factor = context.members.borrow().sampling_factor();
             for transfer in &sent.transfers {
-                context.links.borrow_mut().note(*transfer, stands_for, now);
+                context.links.borrow_mut().note(*transfer, sampling_factor, now);
             }
             sent.saves.iter().for_each(|save| index.note_saving(*save, now));
         }
@@ -358,7 +358,7 @@
     for link in message.slow_links {
         context.links.borrow_mut().note_from_peer(&name, link, now);
     }
-    take_clock(context, message.clock_ms, now);
+    apply_clock(context, message.clock_ms, now);
 }
 
 /// Takes in that a peer speaks of a start of an upstream: it may know before this daemon that the
@@ -373,7 +373,7 @@
             info,
             events::LIST_CHANGED,
             upstream = id,
-            change = ListChange::Restarted.name(),
+            change = ListChangeEffect::Restarted.name(),
             source = source
         );
     }
@@ -398,12 +398,12 @@
 }
 
 /// Takes in a change of the list of upstreams, unless a later record of the upstream is known.
-pub fn take_change(
+pub fn apply_change(
     context: &ServeContext,
-    change: ListedChange,
+    change: ListChange,
     source: ListSource<'_>,
     now: Moment,
-) -> ListChange {
+) -> ListChangeEffect {
     let mut upstreams = context.upstreams.borrow_mut();
     let (name, revision) = (change.id().name(), change.revision());
     let is_change = match source {
@@ -411,24 +411,24 @@
         ListSource::Peer(_) => upstreams.order().admit_from_peer(name, revision),
     };
     if !is_change {
-        return ListChange::Same;
+        return ListChangeEffect::Same;
     }
     let (id, found) = match change {
-        ListedChange::Removed(id, _) => {
+        ListChange::Removed(id, _) => {
             let found = upstreams.note_removed(&id, now);
             (id, found)
         }
-        ListedChange::Entry(entry) => {
+        ListChange::Entry(entry) => {
             let id = entry.id.clone();
             let address = entry.address;
             let found = upstreams.note_entry(entry);
-            if found == ListChange::Restarted {
+            if found == ListChangeEffect::Restarted {
                 context.pool.forget(address);
             }
             (id, found)
         }
     };
-    if found != ListChange::Same {
+    if found != ListChangeEffect::Same {
         log_event!(
             info,
             events::LIST_CHANGED,
@@ -441,7 +441,7 @@
     found
 }
 
-fn take_reads(context: &ServeContext, operator: Option<ReadMark>, list: Option<ReadMark>) {
+fn apply_reads(context: &ServeContext, operator: Option<ReadMark>, list: Option<ReadMark>) {
     let mut reads = context.reads.borrow_mut();
     if let Some(mark) = operator {
         reads.operator.note_from_peer(mark);
@@ -455,7 +455,7 @@
 }
 
 /// Only daemons that follow a store hear the upstreams' clock themselves.
-fn take_clock(context: &ServeContext, clock_ms: Option<u64>, now: Moment) {
+fn apply_clock(context: &ServeContext, clock_ms: Option<u64>, now: Moment) {
     let Some(clock_ms) = clock_ms else { return };
     let is_old = |clock: UpstreamClock| now.millis_since(clock.read) > CLOCK_EXPIRY_MS;
     if context.upstream_clock.get().is_none_or(is_old) {
@@ -464,7 +464,7 @@
 }
 
 /// Takes in that a data centre is drained, or taken back.
-pub fn take_drain(context: &ServeContext, notice: &DrainNotice, now: Moment) {
+pub fn apply_drain(context: &ServeContext, notice: &DrainNotice, now: Moment) {
     if context.drains.borrow_mut().note(notice, now) {
         log_event!(
             info,
@@ -476,7 +476,7 @@
 }
 
 /// Takes in that weights were published by some moment at the latest.
-pub fn take_version(
+pub fn apply_version(
     context: &ServeContext,
     model: &guava_types::ModelName,
     version: crate::WeightVersion,
--- a/crates/guava-serve/src/members/peer_message.rs
+++ b/crates/guava-serve/src/members/peer_message.rs
@@ -277,14 +277,14 @@
 
 /// A change in the list of upstreams.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ListedChange {
+pub enum ListChange {
     /// An upstream as it is listed now.
     Entry(UpstreamEntry),
     /// An upstream that is listed no more, since a record.
     Removed(UpstreamId, ListRevision),
 }
 
-impl ListedChange {
+impl ListChange {
     /// Which upstream changed.
     pub fn id(&self) -> &UpstreamId {
         match self {
@@ -318,7 +318,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerMessage {
     /// Who speaks.
-    pub note: MemberDescriptor,
+    pub member: MemberDescriptor,
     /// Its work at upstreams.
     pub shares: FastMap<UpstreamId, WorkShare>,
     /// Prompts that it sent since its last message.
@@ -340,7 +340,7 @@
     /// The upstreams' clock, in milliseconds.
     pub clock_ms: Option<u64>,
     /// What lately changed in the list of upstreams, as it has read it itself.
-    pub listed: Vec<ListedChange>,
+    pub listed: Vec<ListChange>,
     /// Links of stores that its own fetches show to be slow.
     pub slow_links: Vec<SlowLink>,
     /// Upstreams that lately ended, with its requests that broke off there.
@@ -418,14 +418,14 @@
             is_continued: true,
             is_immediate: self.is_immediate,
             is_for_relay: self.is_for_relay,
-            ..Self::empty(self.note.clone())
+            ..Self::empty(self.member.clone())
         }
     }
 
     /// A message that leaves all as it was said before.
     pub fn empty(note: MemberDescriptor) -> Self {
         Self {
-            note,
+            member: note,
             shares: FastMap::default(),
             sent: Vec::new(),
             loading: Vec::new(),
@@ -506,11 +506,11 @@
             hundredths: link.hundredths,
         };
         let wire = WirePeer {
-            name: self.note.name.to_string(),
-            data_centre: self.note.data_centre.to_string(),
-            peer_address: self.note.peer_address.to_string(),
-            caller_address: self.note.caller_address.to_string(),
-            is_ready: self.note.is_ready,
+            name: self.member.name.to_string(),
+            data_centre: self.member.data_centre.to_string(),
+            peer_address: self.member.peer_address.to_string(),
+            caller_address: self.member.caller_address.to_string(),
+            is_ready: self.member.is_ready,
             shares: self.shares.iter().map(share).collect(),
             sent: self.sent.iter().map(sent).collect(),
             loading: self.loading.iter().map(UpstreamId::to_string).collect(),
@@ -623,7 +623,7 @@
             Some(SlowLink { store: link.store.parse().ok()?, hundredths: link.hundredths })
         };
         Some(Self {
-            note,
+            member: note,
             shares: wire.shares.iter().filter_map(share).collect(),
             sent: wire.sent.iter().filter_map(sent).collect(),
             loading: wire.loading.iter().filter_map(|id| id.parse().ok()).collect(),
@@ -717,15 +717,15 @@
     Some(DrainNotice { data_centre, as_of: wire.as_of, is_drained: wire.is_drained })
 }
 
-fn wire_listed(change: &ListedChange, now: Moment) -> WireListed {
+fn wire_listed(change: &ListChange, now: Moment) -> WireListed {
     match change {
-        ListedChange::Removed(id, revision) => WireListed {
+        ListChange::Removed(id, revision) => WireListed {
             upstream: id.to_string(),
             is_removed: true,
             revision: revision.0,
             ..WireListed::default()
         },
-        ListedChange::Entry(entry) => WireListed {
+        ListChange::Entry(entry) => WireListed {
             upstream: entry.id.to_string(),
             is_removed: false,
             service: entry.service.to_string(),
@@ -741,17 +741,17 @@
     }
 }
 
-fn listed_change(wire: &WireListed, now: Moment) -> Option<ListedChange> {
+fn listed_change(wire: &WireListed, now: Moment) -> Option<ListChange> {
     let id: UpstreamId = wire.upstream.parse().ok()?;
     let is_cold = wire.cold_left_ms > 0;
     let cold_until =
         if is_cold { Deadline::after(now, wire.cold_left_ms) } else { Deadline::default() };
     if wire.is_removed {
-        return Some(ListedChange::Removed(id, ListRevision(wire.revision)));
+        return Some(ListChange::Removed(id, ListRevision(wire.revision)));
     }
     let version =
         |(model, version): (&String, &u64)| Some((model.parse().ok()?, WeightVersion(*version)));
-    Some(ListedChange::Entry(UpstreamEntry {
+    Some(ListChange::Entry(UpstreamEntry {
         id,
         revision: ListRevision(wire.revision),
         service: wire.service.parse().ok()?,
--- a/crates/guava-serve/src/members/peer_task.rs
+++ b/crates/guava-serve/src/members/peer_task.rs
@@ -4,8 +4,8 @@
 use crate::members::member_table::MemberDescriptor;
 use crate::members::message_split::datagrams;
 use crate::members::peer_exchange::{
-    OwnSummary, compose_announcements, compose_crash_notices, compose_immediate,
-    compose_initial_sync, compose_message, compose_reads, take_message,
+    OwnSummary, apply_message, compose_announcements, compose_crash_notices, compose_immediate,
+    compose_initial_sync, compose_message, compose_reads,
 };
 use crate::members::peer_message::{MAX_DATAGRAM_BYTES, PeerMessage};
 use crate::parts::sent_prompt::SentPrompt;
@@ -55,24 +55,24 @@
     for number in 0.. {
         let now = Moment::now();
         let message = compose_message(&context, own_news(&state, number, now), now);
-        let (is_large, near_pause_ms, far_pause_ms) = {
+        let (is_large, local_interval_ms, remote_interval_ms) = {
             let members = context.members.borrow();
-            (members.is_large(), members.near_pause_ms(), members.far_pause_ms())
+            (members.is_large(), members.local_interval_ms(), members.remote_interval_ms())
         };
         send_to_all(&socket, &message, &context, is_large).await;
         if is_large && far_due.passed(now) {
-            far_due = Deadline::after(now, far_pause_ms);
+            far_due = Deadline::after(now, remote_interval_ms);
             let relays = context.members.borrow().relays(&context.identity.name, number, now);
             let relays = relays.into_iter().map(|(_, address)| address).collect();
             send(&socket, &message.for_relay(), &context, relays).await;
         }
-        sleep(Duration::from_millis(near_pause_ms)).await;
+        sleep(Duration::from_millis(local_interval_ms)).await;
     }
 }
 
 fn own_news(state: &OwnState, number: u64, now: Moment) -> OwnSummary {
     OwnSummary {
-        note: own_note(state),
+        member: own_note(state),
         loading: state.rollout.borrow().loading(now),
         loaded: state.rollout.borrow().lately_loaded(now),
         followed: state.followed.borrow().clone(),
@@ -260,5 +260,5 @@
         let relayed = message.clone().relayed();
         send_to_all(socket, &relayed, context, true).await;
     }
-    take_message(context, message, now);
+    apply_message(context, message, now);
 }
--- a/crates/guava-serve/src/parts/part_task.rs
+++ b/crates/guava-serve/src/parts/part_task.rs
@@ -162,7 +162,7 @@
                     info,
                     events::PARTS_FREED,
                     store = store.address,
-                    context = chunk.len()
+                    parts = chunk.len()
                 ),
                 Err(error) => {
                     log_event!(warn, events::FREEING_FAILED, store = store.address, reason = error);
--- a/crates/guava-serve/src/parts/store_links.rs
+++ b/crates/guava-serve/src/parts/store_links.rs
@@ -76,10 +76,10 @@
 impl StoreLinks {
     /// Notes a transfer. Daemons of a large deployment hear only of those begun in their own data
     /// centre; each stands for as many as there are daemons for one of these.
-    pub fn note(&mut self, transfer: StoreTransfer, stands_for: f64, now: Moment) {
+    pub fn note(&mut self, transfer: StoreTransfer, sampling_factor: f64, now: Moment) {
         let slowness = self.slowness(transfer.store, now);
         let queue = self.queues.entry(transfer.store).or_default();
-        queue.push(f64::from(transfer.transfer_ms) * slowness * stands_for, now);
+        queue.push(f64::from(transfer.transfer_ms) * slowness * sampling_factor, now);
     }
 
     /// How many times slower than configured a store's link is: by this daemon's own fetches, or if
--- a/crates/guava-serve/src/request.rs
+++ b/crates/guava-serve/src/request.rs
@@ -12,7 +12,7 @@
 pub(crate) mod engine_input;
 pub(crate) mod event_framer;
 pub(crate) mod event_relay;
-pub(crate) mod fresh_state;
+pub(crate) mod freshness_wait;
 pub(crate) mod http_listener;
 pub(crate) mod outcome;
 pub(crate) mod request_plan;
--- a/crates/guava-serve/src/request/attempt.rs
+++ b/crates/guava-serve/src/request/attempt.rs
@@ -7,7 +7,7 @@
 use crate::request::attempt_plan::AttemptPlan;
 use crate::request::dialect::AnswerMarks;
 use crate::request::event_framer::{EventBatch, EventFramer};
-use crate::request::fresh_state::await_fresh_list;
+use crate::request::freshness_wait::await_fresh_list;
 use crate::request::request_plan::{PlanInput, can_place};
 use crate::request::send_gate::{GateState, pass_gate};
 use crate::serve_context::ServeContext;
--- a/crates/guava-serve/src/request/request_plan.rs
+++ b/crates/guava-serve/src/request/request_plan.rs
@@ -318,9 +318,9 @@
         saves,
         transfers: choice.transfers.clone(),
     };
-    let stands_for = context.members.borrow().stands_for();
+    let sampling_factor = context.members.borrow().sampling_factor();
     for transfer in &choice.transfers {
-        context.links.borrow_mut().note(*transfer, stands_for, now);
+        context.links.borrow_mut().note(*transfer, sampling_factor, now);
     }
     if sent.waiting >= NOTED_PROMPT || !sent.transfers.is_empty() {
         context.just_sent.borrow_mut().push(sent);
--- a/crates/guava-serve/src/request/request_run.rs
+++ b/crates/guava-serve/src/request/request_run.rs
@@ -3,7 +3,7 @@
 use crate::events;
 use crate::request::accepted_request::AcceptedRequest;
 use crate::request::attempt::{AttemptEnd, OpenStream, WholeAnswer, attempt};
-use crate::request::fresh_state::await_fresh_list;
+use crate::request::freshness_wait::await_fresh_list;
 use crate::request::outcome::SendRecord;
 use crate::request::request_plan::{
     PlanInput, PlanStep, can_place, is_crowded, log_send, plan_attempt,
--- a/crates/guava-serve/src/serve_context.rs
+++ b/crates/guava-serve/src/serve_context.rs
@@ -2,7 +2,7 @@
 //!
 //! All of it runs on one thread; each part is borrowed for a moment and never across a wait.
 
-use crate::members::list_changes::ListChanges;
+use crate::members::list_change_gossip::ListChangeGossip;
 use crate::members::lost_messages::LostMessages;
 use crate::members::member_table::MemberTable;
 use crate::members::shared_reads::SharedReads;
@@ -157,7 +157,7 @@
     /// Wakes whoever tells the others what this daemon read of the store.
     pub reads_due: Notify,
     /// Changes of the list of upstreams to tell peers.
-    pub list_changes: RefCell<ListChanges>,
+    pub list_change_gossip: RefCell<ListChangeGossip>,
     /// Messages between daemons that were lost here.
     pub lost_messages: RefCell<LostMessages>,
     /// When the configuration in force was last seen to be the newest.
@@ -209,7 +209,7 @@
             upstream_clock: Cell::new(None),
             reads: RefCell::default(),
             reads_due: Notify::new(),
-            list_changes: RefCell::default(),
+            list_change_gossip: RefCell::default(),
             lost_messages: RefCell::default(),
             config_confirmed: Cell::default(),
             is_operator_unavailable: Cell::new(false),
--- a/crates/guava-serve/src/upstreams/announcement_watch.rs
+++ b/crates/guava-serve/src/upstreams/announcement_watch.rs
@@ -40,7 +40,7 @@
 }
 
 /// Takes in what another daemon knows of an upstream's limit.
-pub fn take_limit(context: &ServeContext, notice: &LimitNotice, source: &MemberName, now: Moment) {
+pub fn apply_limit(context: &ServeContext, notice: &LimitNotice, source: &MemberName, now: Moment) {
     let news = context.announcements.borrow_mut().note_notice(notice, now);
     news.iter().for_each(|news| {
         log_announcement(context, &notice.upstream, news, source, notice.as_of, now)
@@ -48,7 +48,7 @@
 }
 
 /// Takes in that an upstream leaves, as another daemon knows.
-pub fn take_leaving(
+pub fn apply_leaving(
     context: &ServeContext,
     upstream: &UpstreamId,
     source: &MemberName,
--- a/crates/guava-serve/src/upstreams/upstream_crashes.rs
+++ b/crates/guava-serve/src/upstreams/upstream_crashes.rs
@@ -85,7 +85,7 @@
     );
     let notice = CrashNotice { upstream: upstream.clone(), at, requests };
     // Without any request it still shows that others at the same moment had a cause of their own.
-    let is_change = take_crash(context, &notice, now);
+    let is_change = apply_crash(context, &notice, now);
     if is_change && !notice.requests.is_empty() {
         context.crash_gossip.borrow_mut().note_crash(notice, now);
         context.message_due.notify_one();
@@ -102,7 +102,7 @@
 
 /// Takes in under which requests an upstream ended, as seen here or told by a peer; whether it is
 /// news. Also of an upstream that is not, or no more, listed here.
-pub fn take_crash(context: &ServeContext, notice: &CrashNotice, now: Moment) -> bool {
+pub fn apply_crash(context: &ServeContext, notice: &CrashNotice, now: Moment) -> bool {
     let mut ledger = context.ledger.borrow_mut();
     let news = ledger.note_crash(&notice.upstream, &notice.requests, notice.at, now);
     drop(ledger);
@@ -131,7 +131,7 @@
 }
 
 /// Takes in that a peer has stopped a request.
-pub fn take_quarantine(context: &ServeContext, stop: QuarantineNotice, now: Moment) {
+pub fn apply_quarantine(context: &ServeContext, stop: QuarantineNotice, now: Moment) {
     if context.ledger.borrow_mut().note_from_peer(stop, now) {
         log_event!(warn, events::REQUEST_QUARANTINED, digest = stop.request, source = "peer");
         context.quarantines_due.notify_one();
@@ -158,7 +158,7 @@
 }
 
 /// Takes in that a peer has nothing against a request up to some moment.
-pub fn take_cleared(context: &ServeContext, notice: ClearNotice, now: Moment) {
+pub fn apply_cleared(context: &ServeContext, notice: ClearNotice, now: Moment) {
     context.ledger.borrow_mut().note_cleared(notice, now);
     context.crash_gossip.borrow_mut().forget(notice);
 }
--- a/crates/guava-serve/src/upstreams/upstream_table.rs
+++ b/crates/guava-serve/src/upstreams/upstream_table.rs
@@ -84,7 +84,7 @@
 
 /// What a change of the list did, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListChange {
+pub enum ListChangeEffect {
     /// Nothing new.
     Same,
     /// A new upstream.
@@ -103,7 +103,7 @@
     Gone,
 }
 
-impl ListChange {
+impl ListChangeEffect {
     /// In a word, for logs.
     pub fn name(self) -> &'static str {
         match self {
@@ -194,11 +194,11 @@
     }
 
     /// Takes an entry in; one of an earlier start than the newest known changes nothing.
-    pub fn note_entry(&mut self, entry: UpstreamEntry) -> ListChange {
+    pub fn note_entry(&mut self, entry: UpstreamEntry) -> ListChangeEffect {
         let is_restart = self.note_start(&entry.id);
         let newest = self.newest.get(entry.id.name());
         if newest.is_some_and(|newest| entry.id.is_before(newest)) {
-            return ListChange::Same;
+            return ListChangeEffect::Same;
         }
         match self.listed.get_mut(&entry.id) {
             None => {
@@ -212,7 +212,7 @@
                     doubt: None,
                 };
                 self.listed.insert(id, listed);
-                if is_restart { ListChange::Restarted } else { ListChange::Added }
+                if is_restart { ListChangeEffect::Restarted } else { ListChangeEffect::Added }
             }
             Some(listed) => {
                 listed.dropped_at = None;
@@ -229,10 +229,10 @@
                 // Leaving is final: an older copy of the entry must not bring new work back.
                 listed.entry.is_leaving |= was_leaving;
                 match (is_change, has_news, is_colder) {
-                    (true, ..) => ListChange::Leaving,
-                    (false, true, _) => ListChange::Weights,
-                    (false, false, true) => ListChange::Cold,
-                    (false, false, false) => ListChange::Same,
+                    (true, ..) => ListChangeEffect::Leaving,
+                    (false, true, _) => ListChangeEffect::Weights,
+                    (false, false, true) => ListChangeEffect::Cold,
+                    (false, false, false) => ListChangeEffect::Same,
                 }
             }
         }
@@ -243,16 +243,16 @@
     /// Entries lapse while the list is away, since upstreams can't renew them. Dropping all of
     /// them at once would refuse every request though all upstreams serve; so after an outage an
     /// entry counts for the time in which living upstreams register again.
-    pub fn note_removed(&mut self, id: &UpstreamId, now: Moment) -> ListChange {
-        let Some(listed) = self.listed.get_mut(id) else { return ListChange::Same };
+    pub fn note_removed(&mut self, id: &UpstreamId, now: Moment) -> ListChangeEffect {
+        let Some(listed) = self.listed.get_mut(id) else { return ListChangeEffect::Same };
         let grace = Deadline::after(self.returned, LAPSE_GRACE_MS);
         let may_return = !listed.entry.is_leaving && self.is_known && !grace.passed(now);
         if may_return && self.returned != Moment::default() {
             listed.dropped_at = Some(grace);
-            return ListChange::Lapsed;
+            return ListChangeEffect::Lapsed;
         }
         self.drop_entry(id);
-        ListChange::Gone
+        ListChangeEffect::Gone
     }
 
     /// Takes in the whole list as of a revision: entries that are not in it are removed, unless a
@@ -262,7 +262,7 @@
         entries: Vec<UpstreamEntry>,
         end: ListRevision,
         now: Moment,
-    ) -> Vec<(UpstreamId, ListChange)> {
+    ) -> Vec<(UpstreamId, ListChangeEffect)> {
         self.order.note_position(end);
         // An entry of another start of it: that one replaces it, or is older.
         let is_named = |id: &UpstreamId| entries.iter().any(|entry| entry.id.name() == id.name());
@@ -277,7 +277,7 @@
             let change = self.note_removed(&id, now);
             (id, change)
         });
-        let mut changes: Vec<(UpstreamId, ListChange)> = removed.collect();
+        let mut changes: Vec<(UpstreamId, ListChangeEffect)> = removed.collect();
         for entry in entries {
             let id = entry.id.clone();
             // The list is read in parts: an entry may be newer than its beginning.
@@ -290,7 +290,7 @@
                 changes.push((id, self.note_entry(entry)));
             }
         }
-        changes.retain(|(_, change)| *change != ListChange::Same);
+        changes.retain(|(_, change)| *change != ListChangeEffect::Same);
         changes
     }
 
--- a/crates/guava-serve/tests/part_duty.rs
+++ b/crates/guava-serve/tests/part_duty.rs
@@ -4,7 +4,7 @@
 
 mod support;
 
-use guava_serve::{PartList, PartPort, PartReport, ServeConfig, follow_stores, take_config};
+use guava_serve::{PartList, PartPort, PartReport, ServeConfig, apply_config, follow_stores};
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -42,7 +42,7 @@
             tokio::task::spawn_local(duty);
             sleep(Duration::from_millis(10)).await;
             let stores = vec![(*store("s1", 1)).clone()];
-            take_config(
+            apply_config(
                 &context,
                 ServeConfig::new(guava_serve::ConfigParts { stores, ..config_parts(1) }),
             );
--- a/crates/guava-serve/tests/peer_exchange.rs
+++ b/crates/guava-serve/tests/peer_exchange.rs
@@ -5,11 +5,11 @@
 mod support;
 
 use guava_serve::{
-    EngineSpeed, ExpectedLoad, FetchWait, HeldPart, ListChange, ListChanges, ListRevision,
-    ListSource, ListedChange, MAX_DATAGRAM_BYTES, OwnSummary, PartEvent, PartKey, PartSave,
+    EngineSpeed, ExpectedLoad, FetchWait, HeldPart, ListChange, ListChangeEffect, ListChangeGossip,
+    ListRevision, ListSource, MAX_DATAGRAM_BYTES, OwnSummary, PartEvent, PartKey, PartSave,
     PeerMessage, ReadMark, ReadPace, STANDBYS, SentPrompt, ServeContext, ServeIdentity,
-    UpstreamEntry, WeightVersion, WorkShare, compose_immediate, compose_initial_sync,
-    compose_message, compose_reads, datagrams, take_change, take_message,
+    UpstreamEntry, WeightVersion, WorkShare, apply_change, apply_message, compose_immediate,
+    compose_initial_sync, compose_message, compose_reads, datagrams,
 };
 use guava_types::{Moment, TokenCount, TokenRate, UpstreamId};
 use support::{
@@ -47,7 +47,7 @@
 /// Passes a message on as bytes.
 fn pass(message: &PeerMessage, to: &ServeContext) {
     let received = PeerMessage::decode(&message.encode(NOW), NOW).unwrap();
-    take_message(to, received, NOW);
+    apply_message(to, received, NOW);
 }
 
 #[test]
@@ -136,9 +136,12 @@
         let digest = context.upstreams.borrow().digest();
         context.reads.borrow_mut().list.note_own(digest, Moment(NOW.0 - 500));
     }
-    let change = ListedChange::Entry(leaving(upstream("a", "app")));
-    assert_eq!(take_change(&reader, change.clone(), ListSource::Store, NOW), ListChange::Leaving);
-    reader.list_changes.borrow_mut().note(change, NOW);
+    let change = ListChange::Entry(leaving(upstream("a", "app")));
+    assert_eq!(
+        apply_change(&reader, change.clone(), ListSource::Store, NOW),
+        ListChangeEffect::Leaving
+    );
+    reader.list_change_gossip.borrow_mut().note(change, NOW);
     let digest = reader.upstreams.borrow().digest();
     reader.reads.borrow_mut().list.note_own(digest, NOW);
 
@@ -154,7 +157,7 @@
 #[test]
 fn message_for_other_data_centres_leaves_out_what_they_read_themselves() {
     let one = serve_context("d1");
-    one.list_changes.borrow_mut().note(ListedChange::Removed(id("a"), ListRevision(7)), NOW);
+    one.list_change_gossip.borrow_mut().note(ListChange::Removed(id("a"), ListRevision(7)), NOW);
     let message = compose_message(&one, news("d1"), NOW);
     assert_eq!(message.listed.len(), 1);
 
@@ -208,8 +211,8 @@
 
 #[test]
 fn changes_are_told_for_a_while_only() {
-    let mut news = ListChanges::default();
-    news.note(ListedChange::Removed(id("a"), ListRevision(7)), NOW);
+    let mut news = ListChangeGossip::default();
+    news.note(ListChange::Removed(id("a"), ListRevision(7)), NOW);
 
     assert_eq!(news.told(Moment(NOW.0 + 1_000)).len(), 1);
     assert_eq!(news.told(Moment(NOW.0 + 1_300)).len(), 0);
@@ -246,16 +249,16 @@
     pass(&compose_immediate(&one, note("d1")).unwrap(), &two);
 
     assert!(!two.upstreams.borrow().may_send(&before.id));
-    let late = take_change(
+    let late = apply_change(
         &two,
-        ListedChange::Entry(before),
+        ListChange::Entry(before),
         ListSource::Peer(&"d1".parse().unwrap()),
         NOW,
     );
-    assert_eq!(late, ListChange::Same);
-    take_change(
+    assert_eq!(late, ListChangeEffect::Same);
+    apply_change(
         &two,
-        ListedChange::Entry(after.clone()),
+        ListChange::Entry(after.clone()),
         ListSource::Peer(&"d1".parse().unwrap()),
         NOW,
     );
@@ -368,9 +371,9 @@
         context.reads.borrow_mut().list.note_own(digest, Moment(NOW.0 - 500));
     }
     for number in 0..160 {
-        let change = ListedChange::Entry(upstream(&format!("u{number}"), "app"));
-        take_change(&reader, change.clone(), ListSource::Store, NOW);
-        reader.list_changes.borrow_mut().note(change, NOW);
+        let change = ListChange::Entry(upstream(&format!("u{number}"), "app"));
+        apply_change(&reader, change.clone(), ListSource::Store, NOW);
+        reader.list_change_gossip.borrow_mut().note(change, NOW);
     }
     let digest = reader.upstreams.borrow().digest();
     reader.reads.borrow_mut().list.note_own(digest, NOW);
@@ -499,8 +502,8 @@
 }
 
 /// An engine's entry with weights, as a record of the list.
-fn engine_record(version: u64, revision: u64) -> ListedChange {
-    ListedChange::Entry(UpstreamEntry { revision: ListRevision(revision), ..engine("e", version) })
+fn engine_record(version: u64, revision: u64) -> ListChange {
+    ListChange::Entry(UpstreamEntry { revision: ListRevision(revision), ..engine("e", version) })
 }
 
 #[test]
@@ -515,14 +518,14 @@
     // "gone", "added", "gone", "added" for it within 0.9 s, and the send 2.6 s later.
     let (behind, ahead) = (serve_context("d1"), serve_context("d2"));
     for context in [&behind, &ahead] {
-        take_change(context, engine_record(1, 10), ListSource::Store, NOW);
+        apply_change(context, engine_record(1, 10), ListSource::Store, NOW);
         context.upstreams.borrow_mut().order().note_position(ListRevision(11));
     }
-    take_change(&behind, engine_record(2, 11), ListSource::Store, NOW);
-    behind.list_changes.borrow_mut().note(engine_record(2, 11), NOW);
+    apply_change(&behind, engine_record(2, 11), ListSource::Store, NOW);
+    behind.list_change_gossip.borrow_mut().note(engine_record(2, 11), NOW);
 
-    let removed = ListedChange::Removed(id("e"), ListRevision(12));
-    take_change(&ahead, removed, ListSource::Store, NOW);
+    let removed = ListChange::Removed(id("e"), ListRevision(12));
+    apply_change(&ahead, removed, ListSource::Store, NOW);
     ahead.upstreams.borrow_mut().order().note_position(ListRevision(13));
     pass(&compose_message(&behind, news("d1"), NOW), &ahead);
 
@@ -534,13 +537,16 @@
     // Guards against an upstream that is taken in again since datagrams overtook each other.
     let one = serve_context("d1");
     let teller = "d2".parse().unwrap();
-    let told = |change| take_change(&one, change, ListSource::Peer(&teller), NOW);
+    let told = |change| apply_change(&one, change, ListSource::Peer(&teller), NOW);
 
-    let removed = told(ListedChange::Removed(id("e"), ListRevision(12)));
+    let removed = told(ListChange::Removed(id("e"), ListRevision(12)));
     let late = told(engine_record(2, 11));
     let back = told(engine_record(1, 15));
 
-    assert_eq!((removed, late, back), (ListChange::Same, ListChange::Same, ListChange::Added));
+    assert_eq!(
+        (removed, late, back),
+        (ListChangeEffect::Same, ListChangeEffect::Same, ListChangeEffect::Added)
+    );
 }
 
 #[test]
@@ -569,14 +575,14 @@
             .push(SentPrompt { parts: (0..6).map(PartKey).collect(), ..long_prompt(engine) });
     }
     for number in 0..40 {
-        let change = ListedChange::Entry(engine(&format!("i-{number:08x}"), 2));
-        one.list_changes.borrow_mut().note(change, now);
+        let change = ListChange::Entry(engine(&format!("i-{number:08x}"), 2));
+        one.list_change_gossip.borrow_mut().note(change, now);
     }
 
     let told = datagrams(&compose_message(&one, news("d1"), now), now);
     for bytes in &told {
         assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{}", bytes.len());
-        take_message(&two, PeerMessage::decode(bytes, now).unwrap(), now);
+        apply_message(&two, PeerMessage::decode(bytes, now).unwrap(), now);
     }
 
     assert!(told.len() <= 3, "{}", told.len());
@@ -591,12 +597,12 @@
     // Guards against a daemon that reads its backlog after it was told the newest records.
     let one = serve_context("d1");
     let teller = "d2".parse().unwrap();
-    take_change(&one, engine_record(1, 10), ListSource::Store, NOW);
-    let removed = ListedChange::Removed(id("e"), ListRevision(30));
-    take_change(&one, removed, ListSource::Peer(&teller), NOW);
+    apply_change(&one, engine_record(1, 10), ListSource::Store, NOW);
+    let removed = ListChange::Removed(id("e"), ListRevision(30));
+    apply_change(&one, removed, ListSource::Peer(&teller), NOW);
 
-    let read = take_change(&one, engine_record(1, 20), ListSource::Store, NOW);
+    let read = apply_change(&one, engine_record(1, 20), ListSource::Store, NOW);
 
-    assert_eq!(read, ListChange::Same);
+    assert_eq!(read, ListChangeEffect::Same);
     assert!(!one.upstreams.borrow().may_send(&id("e")));
 }
--- a/crates/guava-serve/tests/send_gate.rs
+++ b/crates/guava-serve/tests/send_gate.rs
@@ -8,10 +8,10 @@
     AnnouncedLimit, AnnouncementTable, ColdRule, LimitNotice, SendLedger, UpstreamAnnouncements,
 };
 use guava_serve::{
-    DrainNotice, DrainTable, GateInput, GateState, ListChange, MemberTable, PeerMessage,
-    ServeContext, ServiceRule, UpstreamEntry, UpstreamTable, closed_upstreams,
-    compose_announcements, compose_message, compose_reads, gate_state, note_announcements,
-    pass_gate, take_drain, take_message,
+    DrainNotice, DrainTable, GateInput, GateState, ListChangeEffect, MemberTable, PeerMessage,
+    ServeContext, ServiceRule, UpstreamEntry, UpstreamTable, apply_drain, apply_message,
+    closed_upstreams, compose_announcements, compose_message, compose_reads, gate_state,
+    note_announcements, pass_gate,
 };
 use guava_types::{Deadline, LimitRate, MemberName, Moment};
 use rand::rngs::SmallRng;
@@ -207,7 +207,7 @@
 
 fn pass(message: &PeerMessage, to: &ServeContext) {
     let now = Moment::now();
-    take_message(to, PeerMessage::decode(&message.encode(now), now).unwrap(), now);
+    apply_message(to, PeerMessage::decode(&message.encode(now), now).unwrap(), now);
 }
 
 #[test]
@@ -215,10 +215,10 @@
     let context = daemon("d1");
     let id = upstream("u", "app").id;
 
-    take_drain(&context, &drain(5, true), Moment::now());
+    apply_drain(&context, &drain(5, true), Moment::now());
     let while_drained =
         (is_closed(&context), pass_gate(&context, &app_rule(), &id, Moment::now()).is_open());
-    take_drain(&context, &drain(6, false), Moment::now());
+    apply_drain(&context, &drain(6, false), Moment::now());
 
     assert_eq!(while_drained, (true, false));
     assert!(!context.drains.borrow().is_drained(&"east".parse().unwrap()));
@@ -255,7 +255,7 @@
     // Cause: what was read had to be read by everybody.
     let (one, two) = (daemon("d1"), daemon("d2"));
     one.members.borrow_mut().note_listed();
-    take_drain(&one, &drain(5, true), Moment::now());
+    apply_drain(&one, &drain(5, true), Moment::now());
     one.reads.borrow_mut().operator.note_own(5, Moment::now());
 
     for message in compose_reads(&one, &note("d1"), Moment::now()) {
@@ -268,9 +268,9 @@
 #[test]
 fn late_word_brings_no_drain_back() {
     let (one, two) = (daemon("d1"), daemon("d2"));
-    take_drain(&one, &drain(5, true), Moment::now());
+    apply_drain(&one, &drain(5, true), Moment::now());
     let old = compose_message(&one, news("d1"), Moment::now());
-    take_drain(&two, &drain(6, false), Moment::now());
+    apply_drain(&two, &drain(6, false), Moment::now());
 
     pass(&old, &two);
 
@@ -300,7 +300,10 @@
     let repeated = table.note_entry(cold(upstream("u", "app"), later(3_200)));
     let late = table.note_entry(upstream("u", "app"));
 
-    assert_eq!((first, repeated, late), (ListChange::Cold, ListChange::Same, ListChange::Same));
+    assert_eq!(
+        (first, repeated, late),
+        (ListChangeEffect::Cold, ListChangeEffect::Same, ListChangeEffect::Same)
+    );
     let until = table.entry(&upstream("u", "app").id).unwrap().cold_until;
     assert_eq!(until, Deadline::from(later(3_200)));
 }
@@ -309,7 +312,7 @@
 fn address_of_a_drained_daemon_is_still_told_to_callers() {
     // Only upstreams of a drained data centre rest; its daemons serve.
     let context = daemon("d1");
-    take_drain(&context, &drain(5, true), Moment::now());
+    apply_drain(&context, &drain(5, true), Moment::now());
     context.members.borrow_mut().note_from_peer(note("d2"), Moment::now());
 
     assert_eq!(context.members.borrow().caller_addresses(Moment::now()), [address(2)]);
--- a/crates/guava-serve/tests/small_rules.rs
+++ b/crates/guava-serve/tests/small_rules.rs
@@ -6,8 +6,8 @@
 
 use guava_policy::{ClearNotice, LimitNotice, QuarantineNotice};
 use guava_serve::{
-    CallerIdentity, CrashNotice, DrainNotice, EngineSpeed, EventFramer, ExpectedLoad, ListRevision,
-    ListedChange, LoadedVersion, MemberDescriptor, MemberTable, PartChange, PartKey, PartSave,
+    CallerIdentity, CrashNotice, DrainNotice, EngineSpeed, EventFramer, ExpectedLoad, ListChange,
+    ListRevision, LoadedVersion, MemberDescriptor, MemberTable, PartChange, PartKey, PartSave,
     PeerMessage, PrefillRate, PublishedVersion, ReadMark, RefusalReason, RepeatRule, RetryLimit,
     RetryShares, STANDBYS, SendRecord, SentPrompt, ServiceInput, SlowLink, StoreTransfer,
     StoreUpdate, UpstreamTable, WeightVersion, WorkShare, WorkTable, choose_instance, draw_service,
@@ -269,7 +269,7 @@
 fn peer_message_survives_its_datagram() {
     let share = WorkShare { waiting: TokenCount(5), memory: TokenCount(6), running: 2 };
     let message = PeerMessage {
-        note: note("d1", true),
+        member: note("d1", true),
         shares: FastMap::from_iter([(id("e"), share)]),
         sent: vec![SentPrompt {
             engine: id("e"),
@@ -300,8 +300,8 @@
         loaded: vec![LoadedVersion { engine: id("e"), model: model(), version: WeightVersion(3) }],
         clock_ms: Some(5),
         listed: vec![
-            ListedChange::Entry(engine("g", 2)),
-            ListedChange::Removed(id("h"), ListRevision(7)),
+            ListChange::Entry(engine("g", 2)),
+            ListChange::Removed(id("h"), ListRevision(7)),
         ],
         slow_links: vec![SlowLink { store: address(5), hundredths: 420 }],
         ended: vec![CrashNotice {
@@ -467,8 +467,8 @@
     let near = f64::from(daemons) / 5.0;
     let far = f64::from(daemons) - near;
 
-    let near_per_s = near * 1_000.0 / members.near_pause_ms() as f64;
-    let far_per_s = far * 1_000.0 / members.far_pause_ms() as f64;
+    let near_per_s = near * 1_000.0 / members.local_interval_ms() as f64;
+    let far_per_s = far * 1_000.0 / members.remote_interval_ms() as f64;
 
     assert!(near_per_s <= 201.0 && far_per_s <= 201.0, "{near_per_s} and {far_per_s}");
 }
@@ -479,11 +479,11 @@
 
     // A word on a store of cached parts counts for 1.4 s; it is up to half a second old when it is
     // told, and one lost datagram must not make it expire.
-    assert!(500 + 2 * members.near_pause_ms() < 1_400);
-    assert!(members.silent_ms(&"east".parse().unwrap()) >= 3 * members.near_pause_ms());
-    assert!(members.silent_ms(&"west".parse().unwrap()) >= 2 * members.far_pause_ms());
-    assert_eq!(fleet(80).near_pause_ms(), 250);
-    assert_eq!(fleet(80).far_pause_ms(), 1_000);
+    assert!(500 + 2 * members.local_interval_ms() < 1_400);
+    assert!(members.silent_ms(&"east".parse().unwrap()) >= 3 * members.local_interval_ms());
+    assert!(members.silent_ms(&"west".parse().unwrap()) >= 2 * members.remote_interval_ms());
+    assert_eq!(fleet(80).local_interval_ms(), 250);
+    assert_eq!(fleet(80).remote_interval_ms(), 1_000);
 }
 
 #[test]
--- a/crates/guava-serve/tests/support/mod.rs
+++ b/crates/guava-serve/tests/support/mod.rs
@@ -191,7 +191,7 @@
 /// What a daemon without duties has to tell.
 pub fn news(name: &str) -> OwnSummary {
     OwnSummary {
-        note: note(name),
+        member: note(name),
         loading: Vec::new(),
         loaded: Vec::new(),
         followed: Vec::new(),
--- a/crates/guava-serve/tests/upstream_ends.rs
+++ b/crates/guava-serve/tests/upstream_ends.rs
@@ -6,9 +6,9 @@
 
 use guava_serve::{
     CrashNotice, MAX_DATAGRAM_BYTES, PeerMessage, PortError, QuarantinePort, QuarantineRecord,
-    QuarantineSync, ServeContext, ServiceInput, UpstreamTable, WorkTable, choose_instance,
-    compose_crash_notices, compose_message, compose_reads, is_read_due, note_request_answered,
-    note_upstream_crash, persist_quarantines, take_message,
+    QuarantineSync, ServeContext, ServiceInput, UpstreamTable, WorkTable, apply_message,
+    choose_instance, compose_crash_notices, compose_message, compose_reads, is_read_due,
+    note_request_answered, note_upstream_crash, persist_quarantines,
 };
 use guava_types::{Deadline, Moment, RequestDigest};
 use std::cell::{Cell, RefCell};
@@ -45,7 +45,7 @@
     for message in messages {
         let bytes = message.encode(now);
         assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{}", bytes.len());
-        take_message(to, PeerMessage::decode(&bytes, now).unwrap(), now);
+        apply_message(to, PeerMessage::decode(&bytes, now).unwrap(), now);
     }
 }
 
--- a/crates/guava-serve/tests/upstream_table.rs
+++ b/crates/guava-serve/tests/upstream_table.rs
@@ -4,7 +4,7 @@
 
 mod support;
 
-use guava_serve::{ListChange, ListRevision, UpstreamEntry, UpstreamTable, WeightVersion};
+use guava_serve::{ListChangeEffect, ListRevision, UpstreamEntry, UpstreamTable, WeightVersion};
 use guava_types::{Deadline, Moment};
 use support::{engine, id, leaving, model, upstream};
 
@@ -34,7 +34,7 @@
     let change = table.note_entry(leaving(upstream("a", "app")));
     table.note_entry(upstream("a", "app"));
 
-    assert_eq!(change, ListChange::Leaving);
+    assert_eq!(change, ListChangeEffect::Leaving);
     assert!(!table.may_send(&id("a")));
     assert_eq!(serving(&table), ["b"]);
 }
@@ -45,7 +45,7 @@
 
     let change = table.note_removed(&id("a"), Moment(60_000));
 
-    assert_eq!(change, ListChange::Gone);
+    assert_eq!(change, ListChangeEffect::Gone);
     assert!(!table.may_send(&id("a")));
 }
 
@@ -62,7 +62,7 @@
     let change = table.note_removed(&id("a"), Moment(20_001));
     table.note_removed(&id("b"), Moment(20_001));
 
-    assert_eq!(change, ListChange::Lapsed);
+    assert_eq!(change, ListChangeEffect::Lapsed);
     assert_eq!(serving(&table), ["a", "b"]);
     table.note_entry(upstream("a", "app"));
     assert_eq!(table.drop_lapsed(Moment(21_900)), []);
@@ -79,7 +79,7 @@
 
     let change = table.note_removed(&id("a"), Moment(20_001));
 
-    assert_eq!(change, ListChange::Gone);
+    assert_eq!(change, ListChangeEffect::Gone);
 }
 
 #[test]
@@ -89,7 +89,7 @@
 
     let changes = table.note_list(entries, ListRevision(10), Moment(60_000));
 
-    assert_eq!(changes, [(id("a"), ListChange::Gone), (id("c"), ListChange::Added)]);
+    assert_eq!(changes, [(id("a"), ListChangeEffect::Gone), (id("c"), ListChangeEffect::Added)]);
     assert_eq!(serving(&table), ["b", "c"]);
 }
 
@@ -119,7 +119,7 @@
 
     let change = table.note_entry(engine_started(200, 1));
 
-    assert_eq!(change, ListChange::Restarted);
+    assert_eq!(change, ListChangeEffect::Restarted);
     assert!(table.may_send(&id("e@200")));
     assert!(!table.may_send(&id("e@100")));
     assert_eq!(table.count(), 1);
@@ -157,11 +157,11 @@
     let removal = table.note_removed(&id("e@100"), Moment(60_000));
     let list = table.note_list(vec![engine_started(100, 1)], ListRevision(10), Moment(60_000));
 
-    assert_eq!((entry, removal), (ListChange::Same, ListChange::Same));
+    assert_eq!((entry, removal), (ListChangeEffect::Same, ListChangeEffect::Same));
     assert_eq!(list, []);
     assert!(table.may_send(&id("e@200")));
     table.note_removed(&id("e@200"), Moment(61_000));
-    assert_eq!(table.note_entry(engine_started(100, 1)), ListChange::Same);
+    assert_eq!(table.note_entry(engine_started(100, 1)), ListChangeEffect::Same);
     assert_eq!(table.count(), 0);
 }
 
@@ -192,7 +192,7 @@
     let entries = vec![upstream("b", "app"), upstream("c", "app"), listed_late];
     let changes = table.note_list(entries, ListRevision(10), Moment(60_000));
 
-    assert_eq!(changes, [(id("d"), ListChange::Added)]);
+    assert_eq!(changes, [(id("d"), ListChangeEffect::Added)]);
     assert_eq!(serving(&table), ["a", "b", "d"]);
     assert!(!table.order().admit_from_peer("d", ListRevision(10)));
 }
--- a/crates/guava-standins/src/demo.rs
+++ b/crates/guava-standins/src/demo.rs
@@ -2,7 +2,7 @@
 
 use crate::caller::{Caller, CallerAnswer, CallerCall, StreamedAnswer};
 use crate::deployment::{
-    Deployment, DeploymentPlan, EnginePlan, ProgramPaths, ask, block_on, tell, wait_until,
+    Deployment, DeploymentPlan, EnginePlan, ProgramPaths, ask, block_on, post_value, wait_until,
 };
 use crate::serve::AnyError;
 use crate::service_server::ServiceStats;
@@ -70,7 +70,7 @@
         ask::<StoreStats>(deployment.servers["store-0"], "/stats").is_ok_and(|s| s.writes > 0)
     });
     for name in ["engine-0", "engine-1"] {
-        tell(deployment.servers[name], "/evict", &())?;
+        post_value(deployment.servers[name], "/evict", &())?;
     }
     let back = stream(&deployment, 1, &prompt)?;
     show_stream(&deployment, "the same prompt after its cache was evicted", 1, &back);
--- a/crates/guava-standins/src/deployment.rs
+++ b/crates/guava-standins/src/deployment.rs
@@ -3,7 +3,7 @@
 
 pub use crate::deployment_plan::{DeploymentPlan, EnginePlan, ProgramPaths};
 use crate::fault_proxy::FaultProxy;
-pub use crate::harness::{ask, block_on, free_address, run, start, tell, wait_until};
+pub use crate::harness::{ask, block_on, free_address, post_value, run, start, wait_until};
 use crate::serve::AnyError;
 use guava_types::FastMap;
 use rustix::process::{Pid, Signal, kill_process};
--- a/crates/guava-standins/src/deployment_plan.rs
+++ b/crates/guava-standins/src/deployment_plan.rs
@@ -13,7 +13,7 @@
 
 impl ProgramPaths {
     /// Both from the folder of one of them.
-    pub fn beside(program: &Path) -> Self {
+    pub fn in_folder_of(program: &Path) -> Self {
         Self {
             guavatiller: program.with_file_name("guavatiller"),
             standins: program.with_file_name("standins"),
--- a/crates/guava-standins/src/harness.rs
+++ b/crates/guava-standins/src/harness.rs
@@ -78,7 +78,7 @@
 }
 
 /// POSTs JSON to a stand-in that answers nothing.
-pub fn tell<S: Serialize + Sync>(
+pub fn post_value<S: Serialize + Sync>(
     address: SocketAddr,
     path: &str,
     value: &S,
--- a/crates/guava-standins/src/main.rs
+++ b/crates/guava-standins/src/main.rs
@@ -225,7 +225,7 @@
 }
 
 fn slopes(args: &SlopeArgs) -> Result<(), AnyError> {
-    let paths = ProgramPaths::beside(&std::env::current_exe()?);
+    let paths = ProgramPaths::in_folder_of(&std::env::current_exe()?);
     println!("{CONTROL_HEADING}");
     for daemons in numbers(&args.daemons)? {
         println!("{}", control_row(&paths, daemons, 2)?);
@@ -249,7 +249,8 @@
 }
 
 fn overhead(args: &OverheadArgs) -> Result<(), AnyError> {
-    let figures = measure_overhead(ProgramPaths::beside(&std::env::current_exe()?), args.tokens)?;
+    let figures =
+        measure_overhead(ProgramPaths::in_folder_of(&std::env::current_exe()?), args.tokens)?;
     println!("| way | first token p50 ms | p99 ms |\n| --- | --- | --- |");
     println!(
         "| straight to the engine | {:.2} | {:.2} |",
@@ -261,7 +262,7 @@
 }
 
 fn compare(args: &CompareArgs) -> Result<(), AnyError> {
-    let paths = ProgramPaths::beside(&std::env::current_exe()?);
+    let paths = ProgramPaths::in_folder_of(&std::env::current_exe()?);
     let is_wanted = |list: &[String], name: &str| list.is_empty() || list.iter().any(|n| n == name);
     let mut runs = Vec::new();
     for name in WORKLOADS.into_iter().filter(|name| is_wanted(&args.workload, name)) {
@@ -284,7 +285,7 @@
     match &args.mode {
         StandinMode::Compare(args) => return compare(args),
         StandinMode::Demo(_) => {
-            return run_demo(ProgramPaths::beside(&std::env::current_exe()?));
+            return run_demo(ProgramPaths::in_folder_of(&std::env::current_exe()?));
         }
         StandinMode::Overhead(args) => return overhead(args),
         StandinMode::Slopes(args) => return slopes(args),
--- a/crates/guava-standins/src/measure.rs
+++ b/crates/guava-standins/src/measure.rs
@@ -6,7 +6,7 @@
 use crate::baseline::{BaselineKind, BaselineRouter};
 use crate::caller::Caller;
 use crate::deployment::{
-    Deployment, DeploymentPlan, EnginePlan, ProgramPaths, ask, block_on, tell,
+    Deployment, DeploymentPlan, EnginePlan, ProgramPaths, ask, block_on, post_value,
 };
 use crate::engine_server::EngineStats;
 use crate::serve::AnyError;
@@ -143,17 +143,17 @@
     match fault {
         PlannedFault::None => {}
         PlannedFault::SlowEngine => {
-            tell(deployment.servers["engine-0"], "/fault", &json!({ "slower": 10 }))?;
+            post_value(deployment.servers["engine-0"], "/fault", &json!({ "slower": 10 }))?;
         }
         PlannedFault::DeadStore => deployment.kill("store-0"),
         PlannedFault::SlowLink => {
             for (_, address) in names(deployment, "store-") {
-                tell(address, "/fault", &json!({ "link_percent": 10 }))?;
+                post_value(address, "/fault", &json!({ "link_percent": 10 }))?;
             }
         }
         PlannedFault::DeadDataCentre => deployment.kill("entry-0"),
         PlannedFault::LogOutage => {
-            tell(deployment.servers["log"], "/fault", &json!({ "outage": true }))?;
+            post_value(deployment.servers["log"], "/fault", &json!({ "outage": true }))?;
         }
     }
     Ok(())
--- a/crates/guava-state/src/freshness.rs
+++ b/crates/guava-state/src/freshness.rs
@@ -9,7 +9,7 @@
 use guava_types::{Incarnation, Moment, Offset};
 
 /// How old a sight of the log or of a peer may be, in milliseconds.
-pub const FRESH_FOR_MS: u64 = 5_000;
+pub const FRESHNESS_LIMIT_MS: u64 = 5_000;
 
 /// Somebody read the log to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,7 +26,7 @@
     /// Which.
     pub incarnation: Incarnation,
     /// When it was last known to be alive.
-    pub heard: Moment,
+    pub last_contact: Moment,
     /// Its last sight of the log's end.
     pub log: Option<LogObservation>,
 }
@@ -73,7 +73,7 @@
 
 impl FreshnessInput<'_> {
     fn is_recent(&self, moment: Moment) -> bool {
-        self.now.millis_since(moment) <= FRESH_FOR_MS
+        self.now.millis_since(moment) <= FRESHNESS_LIMIT_MS
     }
 
     /// The latest moment at which the log is now known to have held nothing more than is applied.
@@ -94,7 +94,7 @@
                 || self
                     .peers
                     .iter()
-                    .any(|peer| peer.incarnation == **member && self.is_recent(peer.heard))
+                    .any(|peer| peer.incarnation == **member && self.is_recent(peer.last_contact))
         };
         self.roster.iter().filter(heard).count()
     }
--- a/crates/guava-state/src/lib.rs
+++ b/crates/guava-state/src/lib.rs
@@ -14,7 +14,7 @@
 
 pub use eviction::{EVICT_AFTER_MS, EvictionWatch};
 pub use freshness::{
-    FRESH_FOR_MS, FreshnessInput, FreshnessVerdict, LogObservation, PeerObservation,
+    FRESHNESS_LIMIT_MS, FreshnessInput, FreshnessVerdict, LogObservation, PeerObservation,
 };
 pub use intents::{HeldIntent, IntentTable, IntentVerdict};
 pub use lease::{LeaseEntry, LeaseWatch, clock_margin_ms};
--- a/crates/guava-state/tests/freshness.rs
+++ b/crates/guava-state/tests/freshness.rs
@@ -1,7 +1,7 @@
 //! The freshness rule, case by case.
 
 use guava_state::{
-    FRESH_FOR_MS, FreshnessInput, FreshnessVerdict, LogObservation, PeerObservation,
+    FRESHNESS_LIMIT_MS, FreshnessInput, FreshnessVerdict, LogObservation, PeerObservation,
 };
 use guava_types::{Incarnation, Moment, Offset};
 use yare::parameterized;
@@ -11,7 +11,7 @@
 fn peer(id: u128, age_ms: u64, log: Option<(u64, u64)>) -> PeerObservation {
     PeerObservation {
         incarnation: Incarnation(id),
-        heard: NOW.minus_millis(age_ms),
+        last_contact: NOW.minus_millis(age_ms),
         log: log.map(|(end, age)| LogObservation { end: Offset(end), seen: NOW.minus_millis(age) }),
     }
 }
@@ -51,14 +51,14 @@
     };
 
     let soon = input(1_000).judge();
-    let late = input(FRESH_FOR_MS + 1).judge();
+    let late = input(FRESHNESS_LIMIT_MS + 1).judge();
 
     assert_eq!((soon, late), (FreshnessVerdict::LogSeen, FreshnessVerdict::Stale));
 }
 
 #[parameterized(
     reads_the_log = { Some((10, 100)), vec![], 5, FreshnessVerdict::LogSeen },
-    read_it_long_ago = { Some((10, FRESH_FOR_MS + 1)), vec![], 5, FreshnessVerdict::Stale },
+    read_it_long_ago = { Some((10, FRESHNESS_LIMIT_MS + 1)), vec![], 5, FreshnessVerdict::Stale },
     peer_reads_it = { None, vec![peer(2, 100, Some((10, 200)))], 5, FreshnessVerdict::LogSeen },
     peer_is_ahead = { None, vec![peer(2, 100, Some((11, 200)))], 5, FreshnessVerdict::Stale },
     majority_in_outage = {
--- a/crates/guavatiller/tests/at_most_once.rs
+++ b/crates/guavatiller/tests/at_most_once.rs
@@ -6,7 +6,7 @@
 mod support;
 
 use guava_standins::caller::CallerAnswer;
-use guava_standins::deployment::{Deployment, DeploymentPlan, ask, tell, wait_until};
+use guava_standins::deployment::{Deployment, DeploymentPlan, ask, post_value, wait_until};
 use guava_standins::fault_proxy::LinkFault;
 use serde_json::json;
 use std::net::SocketAddr;
@@ -349,7 +349,7 @@
         let log = ["entry-0", "entry-1", "entry-2"].map(|name| deployment.log_of(name)).concat();
         log.matches("G2007").count() >= 3
     });
-    tell(server(&deployment, "log"), "/keep", &15).unwrap();
+    post_value(server(&deployment, "log"), "/keep", &15).unwrap();
     deployment.kill("entry-2");
     deployment.start_daemon(2).unwrap();
     deployment.wait_ready(2);
--- a/crates/guavatiller/tests/cache_blocks.rs
+++ b/crates/guavatiller/tests/cache_blocks.rs
@@ -5,7 +5,9 @@
 mod support;
 
 use guava_standins::caller::StreamedAnswer;
-use guava_standins::deployment::{Deployment, DeploymentPlan, EnginePlan, ask, tell, wait_until};
+use guava_standins::deployment::{
+    Deployment, DeploymentPlan, EnginePlan, ask, post_value, wait_until,
+};
 use guava_standins::store_server::StoreStats;
 use serde_json::json;
 use support::{deploy, engine_stats, expected_text, long_prompt, server, set_fault, stream};
@@ -28,7 +30,7 @@
 }
 
 fn evict(deployment: &Deployment) {
-    tell(server(deployment, "engine-0"), "/evict", &()).unwrap();
+    post_value(server(deployment, "engine-0"), "/evict", &()).unwrap();
 }
 
 fn details(answer: &StreamedAnswer, field: &str) -> u64 {
--- a/crates/guavatiller/tests/configuration.rs
+++ b/crates/guavatiller/tests/configuration.rs
@@ -5,7 +5,7 @@
 mod support;
 
 use guava_outside::LogClient;
-use guava_standins::deployment::{Deployment, DeploymentPlan, block_on, tell, wait_until};
+use guava_standins::deployment::{Deployment, DeploymentPlan, block_on, post_value, wait_until};
 use guava_standins::fault_proxy::LinkFault;
 use guava_state::{LogRecord, PART_BYTES, RecordBody, restore, snapshot_parts, state_text};
 use guava_types::{Deadline, Incarnation, Offset, RecordId, WallTime};
@@ -296,7 +296,7 @@
         };
         records.iter().rev().take(12).any(|(_, bytes)| holds(bytes))
     });
-    tell(server(&deployment, "log"), "/keep", &15).unwrap();
+    post_value(server(&deployment, "log"), "/keep", &15).unwrap();
 
     for name in ["entry-0", "entry-1", "entry-2"] {
         deployment.kill(name);
--- a/crates/guavatiller/tests/customers.rs
+++ b/crates/guavatiller/tests/customers.rs
@@ -6,7 +6,7 @@
 
 use guava_standins::caller::Caller;
 use guava_standins::deployment::{
-    Deployment, DeploymentPlan, EnginePlan, block_on, tell, wait_until,
+    Deployment, DeploymentPlan, EnginePlan, block_on, post_value, wait_until,
 };
 use guava_standins::store_server::StoreStats;
 use support::{deploy, engine_stats, expected_text, long_prompt, server, stream, stream_as};
@@ -44,7 +44,7 @@
 
     let own = stream(deployment.daemons[1].callers, &prompt, 2);
     let other = stream_as("bolt", deployment.daemons[1].callers, &prompt, 2);
-    tell(server(&deployment, "engine-0"), "/evict", &()).unwrap();
+    post_value(server(&deployment, "engine-0"), "/evict", &()).unwrap();
     let other_late =
         stream_as("bolt", deployment.daemons[2].callers, &long_prompt("shared", 2_000), 2);
 
--- a/crates/guavatiller/tests/leaving.rs
+++ b/crates/guavatiller/tests/leaving.rs
@@ -5,7 +5,7 @@
 mod support;
 
 use guava_outside::ListedVm;
-use guava_standins::deployment::{Deployment, ask, tell, wait_until};
+use guava_standins::deployment::{Deployment, ask, post_value, wait_until};
 use guava_standins::engine_server::EngineStats;
 use guava_standins::fault_proxy::LinkFault;
 use guava_standins::service_server::ServiceStats;
@@ -19,7 +19,7 @@
 fn list_leaving(deployment: &Deployment, name: &str) {
     let address = deployment.reached_at(name).unwrap();
     let vm = ListedVm { address, leaving: true };
-    tell(server(deployment, "list"), "/vms", &vm).unwrap();
+    post_value(server(deployment, "list"), "/vms", &vm).unwrap();
 }
 
 /// Whether a daemon calls an upstream leaving or drained.
@@ -152,7 +152,7 @@
 
     let address = deployment.reached_at("engine-0").unwrap();
     let vm = ListedVm { address, leaving: false };
-    tell(server(&deployment, "list"), "/vms", &vm).unwrap();
+    post_value(server(&deployment, "list"), "/vms", &vm).unwrap();
 
     assert_no_work_at_engine_0(&deployment);
 }
--- a/crates/guavatiller/tests/own_upstream_words.rs
+++ b/crates/guavatiller/tests/own_upstream_words.rs
@@ -5,7 +5,9 @@
 mod support;
 
 use guava_standins::caller::{Caller, CallerCall};
-use guava_standins::deployment::{Deployment, DeploymentPlan, EnginePlan, ask, block_on, tell};
+use guava_standins::deployment::{
+    Deployment, DeploymentPlan, EnginePlan, ask, block_on, post_value,
+};
 use serde_json::json;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -91,7 +93,7 @@
 fn upstream_that_names_a_limit_is_not_overrun_on_the_own_interface(send: Send, upstream: &str) {
     let deployment = start();
     load(&deployment, send, Duration::from_millis(500));
-    tell(server(&deployment, upstream), "/words", &json!({ "limit": "2" })).unwrap();
+    post_value(server(&deployment, upstream), "/words", &json!({ "limit": "2" })).unwrap();
 
     let statuses = load(&deployment, send, Duration::from_secs(9));
 
@@ -117,7 +119,7 @@
     let deployment = start();
     load(&deployment, send, Duration::from_millis(500));
     // Its reports go on to call it serving.
-    tell(server(&deployment, upstream), "/words", &json!({ "leaving": true })).unwrap();
+    post_value(server(&deployment, upstream), "/words", &json!({ "leaving": true })).unwrap();
 
     let statuses = load(&deployment, send, Duration::from_secs(4));
 
@@ -134,7 +136,7 @@
 fn upstream_that_asks_for_rest_gets_it_on_the_own_interface(send: Send, upstream: &str) {
     let deployment = start();
     load(&deployment, send, Duration::from_millis(500));
-    tell(server(&deployment, upstream), "/words", &json!({ "rest": "3" })).unwrap();
+    post_value(server(&deployment, upstream), "/words", &json!({ "rest": "3" })).unwrap();
 
     load(&deployment, send, Duration::from_secs(5));
 
--- a/crates/guavatiller/tests/support/mod.rs
+++ b/crates/guavatiller/tests/support/mod.rs
@@ -4,7 +4,9 @@
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
 use guava_standins::caller::{Caller, CallerAnswer, CallerCall, StreamedAnswer};
-use guava_standins::deployment::{Deployment, DeploymentPlan, ProgramPaths, ask, block_on, tell};
+use guava_standins::deployment::{
+    Deployment, DeploymentPlan, ProgramPaths, ask, block_on, post_value,
+};
 use guava_standins::engine_server::{EngineStats, expected_chunk};
 use guava_standins::service_server::ServiceStats;
 use std::net::SocketAddr;
@@ -12,7 +14,7 @@
 
 /// Starts a deployment.
 pub fn deploy(plan: DeploymentPlan) -> Deployment {
-    let paths = ProgramPaths::beside(Path::new(env!("CARGO_BIN_EXE_guavatiller")));
+    let paths = ProgramPaths::in_folder_of(Path::new(env!("CARGO_BIN_EXE_guavatiller")));
     Deployment::start(paths, plan).unwrap()
 }
 
@@ -97,7 +99,7 @@
 
 /// Sets what goes wrong at a stand-in.
 pub fn set_fault(deployment: &Deployment, name: &str, faults: &serde_json::Value) {
-    tell(server(deployment, name), "/fault", faults).unwrap();
+    post_value(server(deployment, name), "/fault", faults).unwrap();
 }
 
 /// Sets what goes wrong at all stand-ins whose name starts so.
--- a/crates/guavatiller/tests/two_faults.rs
+++ b/crates/guavatiller/tests/two_faults.rs
@@ -7,7 +7,7 @@
 use guava_outside::ListedVm;
 use guava_standins::caller::Caller;
 use guava_standins::deployment::{
-    Deployment, DeploymentPlan, EnginePlan, ask, block_on, tell, wait_until,
+    Deployment, DeploymentPlan, EnginePlan, ask, block_on, post_value, wait_until,
 };
 use guava_standins::engine_server::EngineStats;
 use guava_standins::fault_proxy::LinkFault;
@@ -123,7 +123,7 @@
     let deployment = deploy_default();
     set_fault(&deployment, "log", &json!({ "outage": true }));
     let vm = ListedVm { address: deployment.reached_at("engine-0").unwrap(), leaving: true };
-    tell(server(&deployment, "list"), "/vms", &vm).unwrap();
+    post_value(server(&deployment, "list"), "/vms", &vm).unwrap();
     wait_until("all daemons know it", || {
         (0..3).all(|index| deployment.log_of(&format!("entry-{index}")).contains("\"G5001\""))
     });
@@ -170,7 +170,7 @@
     assert!(stream(deployment.daemons[0].callers, &prompt, 2).done);
     deployment.kill("entry-0");
     for name in ["engine-0", "engine-1"] {
-        tell(server(&deployment, name), "/evict", &()).unwrap();
+        post_value(server(&deployment, name), "/evict", &()).unwrap();
     }
 
     let answers = [1, 2].map(|index| stream(deployment.daemons[index].callers, &prompt, 2));
--- a/crates/guavatiller/tests/versions.rs
+++ b/crates/guavatiller/tests/versions.rs
@@ -6,7 +6,7 @@
 
 use guava_standins::caller::{Caller, StreamedAnswer};
 use guava_standins::deployment::{
-    Deployment, DeploymentPlan, EnginePlan, ask, block_on, tell, wait_until,
+    Deployment, DeploymentPlan, EnginePlan, ask, block_on, post_value, wait_until,
 };
 use guava_standins::engine_server::EngineStats;
 use guava_standins::fault_proxy::LinkFault;
@@ -95,12 +95,12 @@
     deployment.operate_ok(0, &["model", "publish", "hints", "v2"]).unwrap();
     let order = json!({ "token": "1000000", "model": "hints", "version": "v2" });
     let engines = || (0..4).map(|index| server(&deployment, &format!("engine-{index}")));
-    engines().for_each(|engine| tell(engine, "/orders", &order).unwrap());
+    engines().for_each(|engine| post_value(engine, "/orders", &order).unwrap());
     wait_until("all engines have the version", || {
         loaded_versions(&deployment).iter().all(|loaded| loaded == "v2")
     });
     engines().for_each(|engine| {
-        tell(engine, "/fault", &json!({ "reports_version": "v1" })).unwrap();
+        post_value(engine, "/fault", &json!({ "reports_version": "v1" })).unwrap();
     });
     deployment.operate_ok(0, &["model", "roll-out", "hints", "v2"]).unwrap();
     std::thread::sleep(Duration::from_secs(1));
@@ -236,7 +236,7 @@
     let late = serde_json::json!({ "token": "1", "model": "hints", "version": "v1" });
 
     let address = server(&deployment, "engine-0");
-    guava_standins::deployment::tell(address, "/orders", &late).unwrap();
+    guava_standins::deployment::post_value(address, "/orders", &late).unwrap();
     wait_until("the engine has obeyed the late order", || {
         let stats: EngineStats = ask(address, "/stats").unwrap();
         stats.orders.iter().any(|(token, _)| *token == 1)
@@ -255,7 +255,8 @@
     wait_loaded(&deployment, "v2");
     let late = serde_json::json!({ "token": "1", "model": "hints", "version": "v1" });
 
-    guava_standins::deployment::tell(server(&deployment, "engine-0"), "/orders", &late).unwrap();
+    guava_standins::deployment::post_value(server(&deployment, "engine-0"), "/orders", &late)
+        .unwrap();
 
     let stats = &engine_stats(&deployment)[0];
     assert_eq!(stats.refused_orders, 1);
