--- a/crates/guava-serve/src/members.rs
+++ b/crates/guava-serve/src/members.rs
@@ -1,11 +1,11 @@
 //! The daemons: who there is, what they tell each other, and what they know through each other.
 
-pub(crate) mod list_changes;
+pub(crate) mod list_change_gossip;
 pub(crate) mod lost_messages;
 pub(crate) mod member_table;
 pub(crate) mod message_split;
-pub(crate) mod peer_duty;
 pub(crate) mod peer_exchange;
 pub(crate) mod peer_message;
+pub(crate) mod peer_task;
 pub(crate) mod retry_pause;
 pub(crate) mod shared_reads;
--- a/crates/guava-serve/tests/part_duty.rs
+++ b/crates/guava-serve/tests/part_duty.rs
@@ -4,11 +4,11 @@
 
 mod support;
 
-use guava_serve::{PartList, PartPort, PartReport, ServeConfig, follow_stores, take_config};
+use guava_serve::{PartList, PartPort, PartReport, ServeConfig, apply_config, follow_stores};
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use support::{config_parts, serve_parts, store};
+use support::{config_parts, serve_context, store};
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
@@ -33,17 +33,17 @@
     // Sequence: a daemon starts; it reads the configuration some milliseconds later, and takes
     // prompts.
     // Cause: it looked for stores once, without a configuration, and then half a second later.
-    let parts = Rc::new(serve_parts("d1"));
+    let context = Rc::new(serve_context("d1"));
     let followed = Rc::new(RefCell::new(Vec::new()));
-    let duty = follow_stores(Rc::clone(&parts), Rc::new(empty_stores()), Rc::clone(&followed));
+    let duty = follow_stores(Rc::clone(&context), Rc::new(empty_stores()), Rc::clone(&followed));
 
     let waited = LocalSet::new()
         .run_until(async {
             tokio::task::spawn_local(duty);
             sleep(Duration::from_millis(10)).await;
             let stores = vec![(*store("s1", 1)).clone()];
-            take_config(
-                &parts,
+            apply_config(
+                &context,
                 ServeConfig::new(guava_serve::ConfigParts { stores, ..config_parts(1) }),
             );
             let known = Instant::now();
--- a/crates/guava-serve/tests/weights.rs
+++ b/crates/guava-serve/tests/weights.rs
@@ -5,11 +5,11 @@
 mod support;
 
 use guava_serve::{
-    RolloutEngine, ServeParts, UpstreamTable, VersionLimits, VersionRollout, VersionTargets,
-    VersionUse, WeightVersion, age_at_start, loads_at_once, next_orders, useless_salt,
+    RolloutEngine, ServeContext, UpstreamTable, VersionLimits, VersionRollout, VersionTargets,
+    VersionUse, WeightVersion, age_at_start, is_salt_unreferenced, loads_at_once, next_orders,
 };
 use guava_types::Moment;
-use support::{engine, id, model, serve_parts};
+use support::{engine, id, model, serve_context};
 use yare::parameterized;
 
 const LIMIT_MS: u64 = 10_000;
@@ -57,9 +57,9 @@
     // Cause: the daemon counted from its own start.
     let mut targets = targets();
 
-    let is_news = targets.offer(&model(), WeightVersion(2), Moment(95_000));
+    let is_change = targets.offer(&model(), WeightVersion(2), Moment(95_000));
 
-    assert!(!is_news);
+    assert!(!is_change);
     let verdict = targets.judge(&model(), WeightVersion(1), LIMITS, Moment(104_000));
     assert_eq!(verdict, VersionUse::Forbidden);
 }
@@ -112,12 +112,12 @@
     assert_eq!(next_orders(&engines, Moment(6_000)), [id("e")]);
 }
 
-fn parts_with_engines(versions: &[(&str, u64)]) -> ServeParts {
-    let parts = serve_parts("d1");
+fn parts_with_engines(versions: &[(&str, u64)]) -> ServeContext {
+    let context = serve_context("d1");
     for (name, version) in versions {
-        parts.upstreams.borrow_mut().note_entry(engine(name, *version));
+        context.upstreams.borrow_mut().note_entry(engine(name, *version));
     }
-    parts
+    context
 }
 
 #[test]
@@ -128,10 +128,10 @@
     // have the least work, so they are asked first, and are busy.
     // Cause: a busy engine was taken for one that had been given the new order, and held one of
     // the few places for loads until that order expired.
-    let parts = parts_with_engines(&[("e", 1)]);
-    parts.targets.borrow_mut().offer(&model(), WeightVersion(3), Moment(1_000));
+    let context = parts_with_engines(&[("e", 1)]);
+    context.targets.borrow_mut().offer(&model(), WeightVersion(3), Moment(1_000));
     let mut rollout = VersionRollout::default();
-    rollout.refresh(&parts, Moment(1_000));
+    rollout.refresh(&context, Moment(1_000));
 
     rollout.note_busy(&model(), &id("e"), Moment(10_000));
 
@@ -141,13 +141,13 @@
 
 #[test]
 fn rollout_ends_when_all_engines_have_the_weights() {
-    let parts = parts_with_engines(&[("a", 2), ("b", 1)]);
-    parts.targets.borrow_mut().offer(&model(), WeightVersion(2), Moment(1_000));
+    let context = parts_with_engines(&[("a", 2), ("b", 1)]);
+    context.targets.borrow_mut().offer(&model(), WeightVersion(2), Moment(1_000));
     let mut rollout = VersionRollout::default();
 
-    let before = rollout.refresh(&parts, Moment(2_000));
+    let before = rollout.refresh(&context, Moment(2_000));
     rollout.note_done(&model(), &id("b"), Moment(2_000));
-    let after = rollout.refresh(&parts, Moment(2_000));
+    let after = rollout.refresh(&context, Moment(2_000));
 
     assert!(before);
     assert!(!after);
@@ -167,9 +167,9 @@
     upstreams.note_entry(engine("a", 2));
     upstreams.note_entry(engine("b", oldest));
 
-    let is_useless = useless_salt("m0/1", &upstreams, &targets(), Moment(at));
+    let is_unreferenced = is_salt_unreferenced("m0/1", &upstreams, &targets(), Moment(at));
 
-    assert_eq!(is_useless, expected);
+    assert_eq!(is_unreferenced, expected);
 }
 
 #[test]
