--- a/crates/guava-serve/src/request/send_gate.rs
+++ b/crates/guava-serve/src/request/send_gate.rs
@@ -7,13 +7,13 @@
 use crate::members::member_table::MemberTable;
 use crate::metrics::LimitLevel;
 use crate::serve_config::ServiceRule;
-use crate::serve_parts::ServeParts;
+use crate::serve_context::ServeContext;
+use crate::upstreams::announcement_watch::note_send;
 use crate::upstreams::drain_table::DrainTable;
 use crate::upstreams::upstream_table::UpstreamEntry;
-use crate::upstreams::word_watch::note_send;
 use guava_policy::{
-    CloseReason, ClosedUpstream, ColdRule, LimitNotice, SendLedger, SendShare, WordTable,
-    cold_share, full_share, limit_share, word_gate,
+    AnnouncementTable, CloseReason, ClosedUpstream, ColdRule, LimitNotice, SendLedger, SendShare,
+    announcement_gate, cold_share, full_share, limit_share,
 };
 use guava_types::{Deadline, LimitRate, MemberName, Moment, UpstreamId};
 
@@ -27,7 +27,7 @@
     /// What its service's upstreams bear while they are cold; nothing if they are never.
     pub cold: Option<ColdRule>,
     /// What upstreams have said of themselves.
-    pub words: &'a WordTable,
+    pub announcements: &'a AnnouncementTable,
     /// This daemon's sends.
     pub sends: &'a SendLedger,
     /// The daemons.
@@ -60,13 +60,14 @@
         return GateState::Closed(ClosedUpstream { reason: CloseReason::Drained, until: None });
     }
     let share = |limit| limit_part(input.members, input.me, &entry.id, limit);
-    if let Some(closed) = word_gate(input.words, input.sends, &entry.id, share, now) {
+    if let Some(closed) = announcement_gate(input.announcements, input.sends, &entry.id, share, now)
+    {
         return GateState::Closed(closed);
     }
     let Some(rule) = input.cold.filter(|rule| is_cold(input, *rule, entry, now)) else {
         return GateState::Open;
     };
-    let place = input.members.send_place(input.me, entry.id.name());
+    let place = input.members.sender_rank(input.me, entry.id.name());
     // Who does not know the others can't tell its share.
     let share = place.map(|place| cold_share(rule.per_second, input.members.count(), place));
     let share = share.unwrap_or_default();
@@ -81,17 +82,17 @@
     upstream: &UpstreamId,
     limit: LimitRate,
 ) -> SendShare {
-    let place = members.send_place(me, upstream.name());
+    let place = members.sender_rank(me, upstream.name());
     place.map(|place| limit_share(limit, members.count(), place)).unwrap_or_default()
 }
 
 /// The upstreams that have a limit, with this daemon's share of it and its use.
-pub fn limit_levels(parts: &ServeParts, now: Moment) -> Vec<LimitLevel> {
-    let (words, sends, members) =
-        (parts.words.borrow(), parts.sends.borrow(), parts.members.borrow());
+pub fn limit_levels(context: &ServeContext, now: Moment) -> Vec<LimitLevel> {
+    let (announcements, sends, members) =
+        (context.announcements.borrow(), context.sends.borrow(), context.members.borrow());
     let level = |notice: LimitNotice| {
         let limit = notice.rate?;
-        let share = limit_part(&members, &parts.identity.name, &notice.upstream, limit);
+        let share = limit_part(&members, &context.identity.name, &notice.upstream, limit);
         let sent = sends.count(&notice.upstream, LEVEL_MS, now);
         Some(LimitLevel {
             limit: limit.as_per_second(),
@@ -100,7 +101,7 @@
             upstream: notice.upstream,
         })
     };
-    words.limit_notices(now).filter_map(level).collect()
+    announcements.limit_notices(now).filter_map(level).collect()
 }
 
 fn is_cold(input: &GateInput<'_>, rule: ColdRule, entry: &UpstreamEntry, now: Moment) -> bool {
@@ -110,35 +111,39 @@
 }
 
 fn with_gate<T>(
-    parts: &ServeParts,
+    context: &ServeContext,
     rule: &ServiceRule,
     ask: impl FnOnce(&GateInput<'_>) -> T,
 ) -> T {
     ask(&GateInput {
-        drains: &parts.drains.borrow(),
+        drains: &context.drains.borrow(),
         cold: rule.cold,
-        words: &parts.words.borrow(),
-        sends: &parts.sends.borrow(),
-        members: &parts.members.borrow(),
-        me: &parts.identity.name,
+        announcements: &context.announcements.borrow(),
+        sends: &context.sends.borrow(),
+        members: &context.members.borrow(),
+        me: &context.identity.name,
     })
 }
 
 /// The upstreams of a service that may get nothing now.
-pub fn closed_upstreams(parts: &ServeParts, rule: &ServiceRule, now: Moment) -> Vec<UpstreamId> {
-    let upstreams = parts.upstreams.borrow();
+pub fn closed_upstreams(
+    context: &ServeContext,
+    rule: &ServiceRule,
+    now: Moment,
+) -> Vec<UpstreamId> {
+    let upstreams = context.upstreams.borrow();
     let serving = upstreams.serving(&rule.name, now);
-    with_gate(parts, rule, |input| {
+    with_gate(context, rule, |input| {
         let is_closed = |entry: &&UpstreamEntry| !gate_state(input, entry, now).is_open();
         serving.filter(is_closed).map(|entry| entry.id.clone()).collect()
     })
 }
 
 /// When the first upstream of a service may get a request again, if none may now and that is known.
-pub fn reopening(parts: &ServeParts, rule: &ServiceRule, now: Moment) -> Option<Moment> {
-    let upstreams = parts.upstreams.borrow();
+pub fn reopening(context: &ServeContext, rule: &ServiceRule, now: Moment) -> Option<Moment> {
+    let upstreams = context.upstreams.borrow();
     let mut serving = upstreams.serving(&rule.name, now);
-    with_gate(parts, rule, |input| {
+    with_gate(context, rule, |input| {
         serving.try_fold(None, |first: Option<Moment>, entry| match gate_state(input, entry, now) {
             GateState::Open | GateState::Cold => Err(()),
             GateState::Closed(closed) => Ok(first.into_iter().chain(closed.until).min()),
@@ -150,21 +155,21 @@
 
 /// Whether a request may be sent to an upstream right now; notes it as sent.
 pub fn pass_gate(
-    parts: &ServeParts,
+    context: &ServeContext,
     rule: &ServiceRule,
     upstream: &UpstreamId,
     now: Moment,
 ) -> GateState {
     let state = {
-        let upstreams = parts.upstreams.borrow();
+        let upstreams = context.upstreams.borrow();
         let entry = upstreams.entry(upstream).filter(|entry| !entry.is_leaving);
         match entry {
-            Some(entry) => with_gate(parts, rule, |input| gate_state(input, entry, now)),
+            Some(entry) => with_gate(context, rule, |input| gate_state(input, entry, now)),
             None => GateState::Closed(ClosedUpstream { reason: CloseReason::Left, until: None }),
         }
     };
     if state.is_open() {
-        note_send(parts, upstream, now);
+        note_send(context, upstream, now);
     }
     state
 }
--- a/crates/guava-serve/src/upstreams/upstream_table.rs
+++ b/crates/guava-serve/src/upstreams/upstream_table.rs
@@ -84,7 +84,7 @@
 
 /// What a change of the list did, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListChange {
+pub enum ListChangeEffect {
     /// Nothing new.
     Same,
     /// A new upstream.
@@ -103,7 +103,7 @@
     Gone,
 }
 
-impl ListChange {
+impl ListChangeEffect {
     /// In a word, for logs.
     pub fn name(self) -> &'static str {
         match self {
@@ -129,7 +129,7 @@
     /// Services that the configuration names, once there is one.
     services: Option<FastSet<ServiceName>>,
     is_known: bool,
-    is_away: bool,
+    is_unavailable: bool,
     returned: Moment,
     order: ListOrder,
 }
@@ -146,19 +146,19 @@
     }
 
     /// Notes that the list can't be read; what is known stays in use. Whether that is news.
-    pub fn note_away(&mut self) -> bool {
-        !std::mem::replace(&mut self.is_away, true)
+    pub fn note_unavailable(&mut self) -> bool {
+        !std::mem::replace(&mut self.is_unavailable, true)
     }
 
     /// Whether the list could not be read the last time.
-    pub fn is_away(&self) -> bool {
-        self.is_away
+    pub fn is_unavailable(&self) -> bool {
+        self.is_unavailable
     }
 
     /// Notes that the list was read, before what it says is taken in. Whether it was away.
     pub fn note_read(&mut self, now: Moment) -> bool {
         self.is_known = true;
-        let was_away = std::mem::replace(&mut self.is_away, false);
+        let was_away = std::mem::replace(&mut self.is_unavailable, false);
         if was_away {
             self.returned = now;
         }
@@ -194,11 +194,11 @@
     }
 
     /// Takes an entry in; one of an earlier start than the newest known changes nothing.
-    pub fn note_entry(&mut self, entry: UpstreamEntry) -> ListChange {
+    pub fn note_entry(&mut self, entry: UpstreamEntry) -> ListChangeEffect {
         let is_restart = self.note_start(&entry.id);
         let newest = self.newest.get(entry.id.name());
         if newest.is_some_and(|newest| entry.id.is_before(newest)) {
-            return ListChange::Same;
+            return ListChangeEffect::Same;
         }
         match self.listed.get_mut(&entry.id) {
             None => {
@@ -212,7 +212,7 @@
                     doubt: None,
                 };
                 self.listed.insert(id, listed);
-                if is_restart { ListChange::Restarted } else { ListChange::Added }
+                if is_restart { ListChangeEffect::Restarted } else { ListChangeEffect::Added }
             }
             Some(listed) => {
                 listed.dropped_at = None;
@@ -225,14 +225,14 @@
                 // An entry that comes late must not end it sooner.
                 listed.entry.cold_until = listed.entry.cold_until.max(cold_until);
                 listed.entry.versions = versions;
-                let is_news = listed.entry.is_leaving && !was_leaving;
+                let is_change = listed.entry.is_leaving && !was_leaving;
                 // Leaving is final: an older copy of the entry must not bring new work back.
                 listed.entry.is_leaving |= was_leaving;
-                match (is_news, has_news, is_colder) {
-                    (true, ..) => ListChange::Leaving,
-                    (false, true, _) => ListChange::Weights,
-                    (false, false, true) => ListChange::Cold,
-                    (false, false, false) => ListChange::Same,
+                match (is_change, has_news, is_colder) {
+                    (true, ..) => ListChangeEffect::Leaving,
+                    (false, true, _) => ListChangeEffect::Weights,
+                    (false, false, true) => ListChangeEffect::Cold,
+                    (false, false, false) => ListChangeEffect::Same,
                 }
             }
         }
@@ -243,16 +243,16 @@
     /// Entries lapse while the list is away, since upstreams can't renew them. Dropping all of
     /// them at once would refuse every request though all upstreams serve; so after an outage an
     /// entry counts for the time in which living upstreams register again.
-    pub fn note_removed(&mut self, id: &UpstreamId, now: Moment) -> ListChange {
-        let Some(listed) = self.listed.get_mut(id) else { return ListChange::Same };
+    pub fn note_removed(&mut self, id: &UpstreamId, now: Moment) -> ListChangeEffect {
+        let Some(listed) = self.listed.get_mut(id) else { return ListChangeEffect::Same };
         let grace = Deadline::after(self.returned, LAPSE_GRACE_MS);
         let may_return = !listed.entry.is_leaving && self.is_known && !grace.passed(now);
         if may_return && self.returned != Moment::default() {
             listed.dropped_at = Some(grace);
-            return ListChange::Lapsed;
+            return ListChangeEffect::Lapsed;
         }
         self.drop_entry(id);
-        ListChange::Gone
+        ListChangeEffect::Gone
     }
 
     /// Takes in the whole list as of a revision: entries that are not in it are removed, unless a
@@ -262,7 +262,7 @@
         entries: Vec<UpstreamEntry>,
         end: ListRevision,
         now: Moment,
-    ) -> Vec<(UpstreamId, ListChange)> {
+    ) -> Vec<(UpstreamId, ListChangeEffect)> {
         self.order.note_position(end);
         // An entry of another start of it: that one replaces it, or is older.
         let is_named = |id: &UpstreamId| entries.iter().any(|entry| entry.id.name() == id.name());
@@ -277,20 +277,20 @@
             let change = self.note_removed(&id, now);
             (id, change)
         });
-        let mut changes: Vec<(UpstreamId, ListChange)> = removed.collect();
+        let mut changes: Vec<(UpstreamId, ListChangeEffect)> = removed.collect();
         for entry in entries {
             let id = entry.id.clone();
             // The list is read in parts: an entry may be newer than its beginning.
-            let is_news = if entry.revision < end {
+            let is_change = if entry.revision < end {
                 self.order.admit_read(id.name(), entry.revision)
             } else {
-                self.order.admit_told(id.name(), entry.revision)
+                self.order.admit_from_peer(id.name(), entry.revision)
             };
-            if is_news {
+            if is_change {
                 changes.push((id, self.note_entry(entry)));
             }
         }
-        changes.retain(|(_, change)| *change != ListChange::Same);
+        changes.retain(|(_, change)| *change != ListChangeEffect::Same);
         changes
     }
 
@@ -379,14 +379,14 @@
     /// Notes that nobody listens at an upstream's address: it gets no work from this daemon until a
     /// deadline. Its entry lapses only seconds after it ended, and until then each request that went
     /// there took one of its few tries.
-    pub fn note_ended(&mut self, id: &UpstreamId, until: Deadline) {
+    pub fn note_crashed(&mut self, id: &UpstreamId, until: Deadline) {
         if let Some(listed) = self.listed.get_mut(id) {
             listed.ended_until = until;
         }
     }
 
     /// Whether an upstream has ended, as far as is known.
-    pub fn has_ended(&self, id: &UpstreamId, now: Moment) -> bool {
+    pub fn has_crashed(&self, id: &UpstreamId, now: Moment) -> bool {
         self.listed.get(id).is_some_and(|listed| !listed.ended_until.passed(now))
     }
 
--- a/crates/guavatiller/tests/at_most_once.rs
+++ b/crates/guavatiller/tests/at_most_once.rs
@@ -6,7 +6,7 @@
 mod support;
 
 use guava_standins::caller::CallerAnswer;
-use guava_standins::deployment::{Deployment, DeploymentPlan, ask, tell, wait_until};
+use guava_standins::deployment::{Deployment, DeploymentPlan, ask, post_value, wait_until};
 use guava_standins::fault_proxy::LinkFault;
 use serde_json::json;
 use std::net::SocketAddr;
@@ -267,8 +267,8 @@
 fn pinned_key(deployment: &Deployment, index: usize) -> String {
     let caller = guava_standins::caller::Caller::of("acme");
     let address = deployment.daemons[index].callers;
-    let minted = caller.send(address, "POST".parse().unwrap(), "/v1/keys", "");
-    let answer = guava_standins::deployment::block_on(minted).unwrap().unwrap();
+    let issued = caller.send(address, "POST".parse().unwrap(), "/v1/keys", "");
+    let answer = guava_standins::deployment::block_on(issued).unwrap().unwrap();
     let body: serde_json::Value = serde_json::from_str(&answer.body).unwrap();
     body["key"].as_str().unwrap().to_owned()
 }
@@ -349,7 +349,7 @@
         let log = ["entry-0", "entry-1", "entry-2"].map(|name| deployment.log_of(name)).concat();
         log.matches("G2007").count() >= 3
     });
-    tell(server(&deployment, "log"), "/keep", &15).unwrap();
+    post_value(server(&deployment, "log"), "/keep", &15).unwrap();
     deployment.kill("entry-2");
     deployment.start_daemon(2).unwrap();
     deployment.wait_ready(2);
