--- a/crates/guava-daemon/src/admission_queue.rs
+++ b/crates/guava-daemon/src/admission_queue.rs
@@ -2,7 +2,7 @@
 
 use crate::lock::locked;
 use guava_policy::{
-    AdmitDecision, AdmitOptions, CustomerUse, FairAdmission, QueueAction, ReturnAfter,
+    AdmitDecision, AdmitOptions, CustomerUse, FairAdmission, QueueAction, RetryAfter,
     WaitingRequest,
 };
 use guava_types::{CustomerId, Deadline, FastMap, Moment};
@@ -114,12 +114,12 @@
     }
 
     /// When whoever is refused now should come back.
-    pub(crate) fn return_after(&self) -> ReturnAfter {
+    pub(crate) fn return_after(&self) -> RetryAfter {
         let state = locked(&self.state);
         let options = options(&state);
         let waiting = state.fair.waiting() as f64 + 1.0;
         let wait = waiting * options.service_ms / f64::from(options.slots);
-        ReturnAfter(wait.ceil() as u64)
+        RetryAfter(wait.ceil() as u64)
     }
 
     /// Gives a place in the queue up.
--- a/crates/guava-daemon/src/cache_task.rs
+++ b/crates/guava-daemon/src/cache_task.rs
@@ -105,8 +105,8 @@
         rate: locked(&context.link_rates).rate(&store, spec.link, Moment::now()),
         queued: report.link_queued,
         prefill: view.upstream(&note.upstream)?.prefill,
-        seen: seen.seen,
-        seen_before: seen.last_seen,
+        use_count: seen.seen,
+        last_use: seen.last_seen,
         now: Moment::now(),
         profile: view.profile,
     };
--- a/crates/guava-daemon/src/completion.rs
+++ b/crates/guava-daemon/src/completion.rs
@@ -17,7 +17,7 @@
 use crate::work_gauge::WorkGuard;
 use guava_log::log_event;
 use guava_outside::{CompletionOrder, HttpError, Usage};
-use guava_policy::{AdmitDecision, ReplyChunk, ReturnAfter};
+use guava_policy::{AdmitDecision, ReplyChunk, RetryAfter};
 use guava_state::ModelSpec;
 use guava_types::{
     ByteCount, CustomerId, Deadline, ModelName, Moment, RequestDigest, TokenCount, UpstreamId,
@@ -193,10 +193,10 @@
 
 fn admission_refusal(caller: &CallerInfo, decision: AdmitDecision) -> CallOutcome {
     match decision {
-        AdmitDecision::OverLimit(ReturnAfter(after_ms)) => {
+        AdmitDecision::OverLimit(RetryAfter(after_ms)) => {
             refused(caller, RefusalKind::OVER_LIMIT, "over the customer's limits", after_ms)
         }
-        AdmitDecision::TooLate(ReturnAfter(after_ms)) => {
+        AdmitDecision::TooLate(RetryAfter(after_ms)) => {
             refused(caller, RefusalKind::OVERLOADED, "would not start in time", after_ms)
         }
         AdmitDecision::Admit | AdmitDecision::Queue => {
--- a/crates/guava-daemon/src/crash_watch.rs
+++ b/crates/guava-daemon/src/crash_watch.rs
@@ -122,7 +122,7 @@
         let news =
             locked(&context.crashes.ledger).note_crash(&start, &[send.request], send.at, now);
         take_news(context, &news);
-        for request in news.stopped {
+        for request in news.quarantined {
             let times = locked(&context.crashes.ledger).quarantine_count(request);
             times.iter().for_each(|times| record_stop(context, request, *times));
         }
@@ -130,10 +130,10 @@
 }
 
 fn take_news(context: &DaemonContext, news: &LedgerChange) {
-    for request in &news.stopped {
+    for request in &news.quarantined {
         log_event!(warn, events::REQUEST_QUARANTINED, digest = request, source = "evidence");
     }
-    for request in &news.lifted {
+    for request in &news.released {
         log_event!(info, events::REQUEST_CLEARED, digest = request, reason = "explained");
         unstop(context, *request);
     }
@@ -174,7 +174,7 @@
     over.into_iter().for_each(|request| unstop(context, request));
     if is_turn {
         let remembered: Vec<(RequestDigest, u32)> =
-            locked(&context.crashes.ledger).remembered().collect();
+            locked(&context.crashes.ledger).retained_quarantines().collect();
         let is_missing = |(request, times): &&(RequestDigest, u32)| {
             stops.get(request).is_none_or(|known| known < times)
         };
@@ -195,7 +195,7 @@
             requests: requests.take(GOSSIPED_REQUESTS).map(|digest| digest.to_bytes()).collect(),
         })
         .collect();
-    let stops = ledger.stops(now).take(GOSSIPED_STOPS);
+    let stops = ledger.quarantines(now).take(GOSSIPED_STOPS);
     entry.stopped = stops
         .map(|stop| StoppedRequest {
             request: stop.request.to_bytes(),
--- a/crates/guava-policy/src/admission.rs
+++ b/crates/guava-policy/src/admission.rs
@@ -18,7 +18,7 @@
 
 /// When a refused caller should come back, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ReturnAfter(pub u64);
+pub struct RetryAfter(pub u64);
 
 /// Limits of a customer and how it uses them.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -41,9 +41,9 @@
     /// Wait in the queue for a slot.
     Queue,
     /// Refused: over the customer's rate or concurrency.
-    OverLimit(ReturnAfter),
+    OverLimit(RetryAfter),
     /// Refused: would not start before its deadline.
-    TooLate(ReturnAfter),
+    TooLate(RetryAfter),
 }
 
 /// A request in the queue.
@@ -154,13 +154,13 @@
         Self::refill(share, rate, now);
         if share.tokens < 1.0 {
             let missing = (1.0 - share.tokens) * 1_000.0 / rate;
-            return AdmitDecision::OverLimit(ReturnAfter(missing.ceil() as u64));
+            return AdmitDecision::OverLimit(RetryAfter(missing.ceil() as u64));
         }
         let concurrency = share_of(f64::from(usage.concurrency), own, usage);
         let queued = share.waiting.len();
         if own as f64 + queued as f64 >= concurrency {
             let after = options.service_ms.ceil() as u64;
-            return AdmitDecision::OverLimit(ReturnAfter(after));
+            return AdmitDecision::OverLimit(RetryAfter(after));
         }
         if self.starting < options.slots && self.waiting == 0 {
             self.start(&request.customer);
@@ -174,7 +174,7 @@
         let first_token = wait + options.safe_service_ms();
         let too_late = Deadline::after(now, first_token) > request.deadline;
         if too_late || self.waiting >= options.queue {
-            return AdmitDecision::TooLate(ReturnAfter(wait.max(1)));
+            return AdmitDecision::TooLate(RetryAfter(wait.max(1)));
         }
         self.enqueue(request);
         AdmitDecision::Queue
--- a/crates/guava-policy/src/crash_ledger.rs
+++ b/crates/guava-policy/src/crash_ledger.rs
@@ -88,9 +88,9 @@
     /// Whether anything was not known before.
     pub is_change: bool,
     /// Requests that are stopped from now on.
-    pub stopped: Vec<RequestDigest>,
+    pub quarantined: Vec<RequestDigest>,
     /// Requests that are let go: they are explained by another.
-    pub lifted: Vec<RequestDigest>,
+    pub released: Vec<RequestDigest>,
 }
 
 #[derive(Clone, Debug)]
@@ -227,7 +227,7 @@
     }
 
     /// The stopped requests.
-    pub fn stops(&self, now: Moment) -> impl Iterator<Item = QuarantineNotice> {
+    pub fn quarantines(&self, now: Moment) -> impl Iterator<Item = QuarantineNotice> {
         let stopped = self.stops.iter().filter(move |(_, stop)| !stop.until.passed(now));
         stopped.map(move |(request, stop)| QuarantineNotice {
             request: *request,
@@ -246,7 +246,7 @@
     }
 
     /// All requests that were stopped and are remembered, and how often each was.
-    pub fn remembered(&self) -> impl Iterator<Item = (RequestDigest, u32)> {
+    pub fn retained_quarantines(&self) -> impl Iterator<Item = (RequestDigest, u32)> {
         self.stops.iter().map(|(request, stop)| (*request, stop.times))
     }
 
@@ -350,7 +350,7 @@
             if !blamed.contains(&request) && self.is_explained(request, &blamed) {
                 self.stops.remove(&request);
                 self.note_clear(ClearNotice { request, at: now }, now, true);
-                news.lifted.push(request);
+                news.released.push(request);
             }
         }
         for request in blamed {
@@ -361,7 +361,7 @@
             let until = Deadline::after(now, stop_ms(times));
             self.cleared.remove(&request);
             self.insert_stop(request, RequestQuarantine { until, times, is_found_here: true });
-            news.stopped.push(request);
+            news.quarantined.push(request);
         }
     }
 
--- a/crates/guava-policy/src/export.rs
+++ b/crates/guava-policy/src/export.rs
@@ -22,9 +22,9 @@
     /// Prefill throughput of the engines.
     pub prefill: TokenRate,
     /// Times the prefix was seen, this one included.
-    pub seen: u32,
+    pub use_count: u32,
     /// When it was seen before, if ever.
-    pub seen_before: Option<Moment>,
+    pub last_use: Option<Moment>,
     /// The current moment.
     pub now: Moment,
     /// Weights of the measures.
@@ -43,8 +43,8 @@
     if link_wait_ms > MAX_LINK_WAIT_MS {
         return false;
     }
-    let returned = input.seen > 1;
-    let gap_ms = input.seen_before.map_or(0, |before| input.now.millis_since(before));
+    let returned = input.use_count > 1;
+    let gap_ms = input.last_use.map_or(0, |before| input.now.millis_since(before));
     let reuse = match (returned, gap_ms > 1_000) {
         (true, true) => 1.0,
         (true, false) => 0.7,
--- a/crates/guava-policy/src/lib.rs
+++ b/crates/guava-policy/src/lib.rs
@@ -26,7 +26,7 @@
 mod upstream_announcements;
 
 pub use admission::{
-    AdmitDecision, AdmitOptions, CustomerUse, FairAdmission, QueueAction, ReturnAfter,
+    AdmitDecision, AdmitOptions, CustomerUse, FairAdmission, QueueAction, RetryAfter,
     WaitingRequest,
 };
 pub use announcement_gate::{CloseReason, ClosedUpstream, announcement_gate, full_share};
--- a/crates/guava-policy/src/memory_budget.rs
+++ b/crates/guava-policy/src/memory_budget.rs
@@ -79,7 +79,7 @@
     }
 
     /// The part of the memory to plan with.
-    pub fn part(&mut self, now: Moment) -> f64 {
+    pub fn fraction(&mut self, now: Moment) -> f64 {
         self.note_late(now);
         self.part
     }
--- a/crates/guava-policy/tests/crash_ledger.rs
+++ b/crates/guava-policy/tests/crash_ledger.rs
@@ -50,7 +50,7 @@
     for number in 0..CRASHES_TO_QUARANTINE {
         let mut requests = strangers(100 * (number as u128 + 1));
         requests.push(CRASHING);
-        stopped.push(ledger.note_crash(&id(number), &requests, apart(number), NOW).stopped);
+        stopped.push(ledger.note_crash(&id(number), &requests, apart(number), NOW).quarantined);
     }
 
     assert_eq!(stopped, [vec![], vec![], vec![CRASHING]]);
@@ -124,7 +124,7 @@
         .collect();
 
     assert!(at_first && !is_stopped(&ledger, CONCURRENT) && is_stopped(&ledger, CRASHING));
-    assert!(news.iter().any(|news| news.lifted == [CONCURRENT]), "{news:?}");
+    assert!(news.iter().any(|news| news.released == [CONCURRENT]), "{news:?}");
 }
 
 #[test]
@@ -197,7 +197,7 @@
 
     let stopped_at = (0..100).find(|number| {
         let at = later(8 * *number as u64);
-        ledger.note_crash(&id(*number), &[CRASHING], at, at).stopped == [CRASHING]
+        ledger.note_crash(&id(*number), &[CRASHING], at, at).quarantined == [CRASHING]
     });
 
     assert!(stopped_at.is_some_and(|number| number < 20), "{stopped_at:?}");
@@ -226,7 +226,7 @@
     let news = ledger.note_crash(&id(3), &[CONCURRENT, CRASHING], later(12), later(1_010));
 
     assert!(at_first);
-    assert_eq!(news.lifted, [CONCURRENT]);
+    assert_eq!(news.released, [CONCURRENT]);
 }
 
 #[test]
@@ -261,7 +261,7 @@
     ledger.note_cleared(notice, later(600));
     let news = ledger.note_crash(&id(2), &[CRASHING], later(900), later(900));
 
-    assert_eq!(news.stopped, [CRASHING]);
+    assert_eq!(news.quarantined, [CRASHING]);
 }
 
 #[test]
@@ -299,7 +299,7 @@
     let news = ledger.note_crash(&id(9), &beside, chance, chance);
 
     assert!(has_chance);
-    assert_eq!(news.stopped, [CRASHING]);
+    assert_eq!(news.quarantined, [CRASHING]);
     let left = ledger.quarantined_until(CRASHING, chance).unwrap().millis_left(chance);
     assert_eq!(left, 2 * FIRST_QUARANTINE_MS);
 }
@@ -320,7 +320,7 @@
 
     ledger.note_record(CRASHING, 2, NOW);
 
-    let stops: Vec<QuarantineNotice> = ledger.stops(NOW).collect();
+    let stops: Vec<QuarantineNotice> = ledger.quarantines(NOW).collect();
     assert_eq!(
         stops,
         [QuarantineNotice { request: CRASHING, left_ms: 2 * FIRST_QUARANTINE_MS, times: 2 }]
@@ -341,5 +341,5 @@
     }
 
     assert!(ledger.crash_count() <= 512);
-    assert!(ledger.stops(NOW).count() <= 128);
+    assert!(ledger.quarantines(NOW).count() <= 128);
 }
--- a/crates/guava-policy/tests/memory_trust.rs
+++ b/crates/guava-policy/tests/memory_trust.rs
@@ -32,12 +32,12 @@
     // they are sent more than they hold; each prompt takes ten times as long and makes the next late.
     // Cause: what became of the prompts changed nothing in what was sent.
     let mut trust = MemoryBudget::default();
-    let before = trust.part(Moment(0));
+    let before = trust.fraction(Moment(0));
 
     let overloaded = play(&mut trust, 1_000, &[3_000; 8]);
-    let during = trust.part(overloaded);
+    let during = trust.fraction(overloaded);
     let recovered = play(&mut trust, 10_000, &[250; 40]);
-    let after = trust.part(recovered);
+    let after = trust.fraction(recovered);
 
     assert!(before > 0.9, "{before}");
     assert!((0.3..0.6).contains(&during), "{during}");
@@ -48,13 +48,13 @@
 fn late_first_token_counts_before_it_comes_and_only_once() {
     let mut trust = MemoryBudget::default();
     trust.begin(1, EXPECTED_MS, Moment(1_000));
-    let best = trust.part(Moment(2_400));
+    let best = trust.fraction(Moment(2_400));
 
-    let awaited = trust.part(Moment(2_600));
+    let awaited = trust.fraction(Moment(2_600));
     trust.dropped(1, Moment(6_000));
 
     assert!(awaited < best, "{awaited} {best}");
-    assert!((trust.part(Moment(6_000)) - awaited).abs() < 1e-9);
+    assert!((trust.fraction(Moment(6_000)) - awaited).abs() < 1e-9);
 }
 
 #[test]
@@ -63,18 +63,18 @@
 
     let end = play(&mut trust, 1_000, &[9_000; 200]);
 
-    assert!(trust.part(end) > 0.3);
+    assert!(trust.fraction(end) > 0.3);
 }
 
 #[test]
 fn prompt_that_was_given_up_in_time_says_nothing() {
     let mut trust = MemoryBudget::default();
-    let best = trust.part(Moment(0));
+    let best = trust.fraction(Moment(0));
 
     trust.begin(1, EXPECTED_MS, Moment(1_000));
     trust.dropped(1, Moment(1_200));
 
-    assert!((trust.part(Moment(9_000)) - best).abs() < 1e-9);
+    assert!((trust.fraction(Moment(9_000)) - best).abs() < 1e-9);
 }
 
 #[parameterized(
--- a/crates/guava-serve/src/members/peer_exchange.rs
+++ b/crates/guava-serve/src/members/peer_exchange.rs
@@ -91,7 +91,7 @@
 
 /// Stopped requests as told: nearly always none. Where there are more than fit, others each time.
 fn told_stops(context: &ServeContext, now: Moment) -> Vec<QuarantineNotice> {
-    let mut stops: Vec<QuarantineNotice> = context.ledger.borrow().stops(now).collect();
+    let mut stops: Vec<QuarantineNotice> = context.ledger.borrow().quarantines(now).collect();
     if stops.len() > MOST_STOPS {
         let from = rand::random::<u64>() as usize % stops.len();
         stops.rotate_left(from);
@@ -103,7 +103,7 @@
 /// Whether a message holds all that the records of stopped requests say.
 fn tells_all_stops(context: &ServeContext, now: Moment) -> bool {
     context.quarantine_sync.get().is_known
-        && context.ledger.borrow().stops(now).count() <= MOST_STOPS
+        && context.ledger.borrow().quarantines(now).count() <= MOST_STOPS
 }
 
 fn told_cleared(context: &ServeContext) -> Vec<ClearNotice> {
--- a/crates/guava-serve/src/request/request_plan.rs
+++ b/crates/guava-serve/src/request/request_plan.rs
@@ -256,7 +256,7 @@
         prefill: context.prefill.borrow().rate(),
         speeds: &context.speeds.borrow(),
         fixed_ms: context.prefill.borrow().fixed_ms(),
-        memory_part: context.memory_budget.borrow_mut().part(now),
+        memory_part: context.memory_budget.borrow_mut().fraction(now),
         me: &context.identity.name,
         peers: &peers,
         data_centre: &context.identity.data_centre,
--- a/crates/guava-serve/src/upstreams/quarantine_task.rs
+++ b/crates/guava-serve/src/upstreams/quarantine_task.rs
@@ -116,7 +116,7 @@
     async fn write_records(&mut self, turn: usize) -> Result<(), PortError> {
         let known: Vec<QuarantineRecord> = {
             let ledger = self.context.ledger.borrow();
-            let remembered = ledger.remembered();
+            let remembered = ledger.retained_quarantines();
             remembered.map(|(request, times)| QuarantineRecord { request, times }).collect()
         };
         for record in &known {
--- a/crates/guava-serve/src/upstreams/upstream_crashes.rs
+++ b/crates/guava-serve/src/upstreams/upstream_crashes.rs
@@ -111,14 +111,14 @@
 }
 
 fn log_verdicts(context: &ServeContext, news: &LedgerChange) {
-    for request in &news.stopped {
+    for request in &news.quarantined {
         context.metrics.count_request("stopped");
         log_event!(warn, events::REQUEST_QUARANTINED, digest = request, source = "evidence");
     }
-    for request in &news.lifted {
+    for request in &news.released {
         log_event!(info, events::REQUEST_CLEARED, digest = request, reason = "explained");
     }
-    if !news.stopped.is_empty() || !news.lifted.is_empty() {
+    if !news.quarantined.is_empty() || !news.released.is_empty() {
         note_verdicts(context);
     }
 }
