--- a/crates/guava-policy/src/crash_ledger.rs
+++ b/crates/guava-policy/src/crash_ledger.rs
@@ -1,101 +1,106 @@
-//! Which requests end the upstreams that run them, and are stopped for it.
+//! Finds requests that crash the upstreams that run them, and quarantines them.
 //!
-//! **The load.** A request may crash each upstream that begins to run it, and its caller comes again,
-//! at any daemon, under another id. With one such request 67 engines of 18 ended in a day, each with
-//! all that ran on it. What stays the same is its digest: caller, path and body.
+//! **The failure.** A request may crash every upstream that begins to run it, and its caller
+//! repeats it, at any daemon, under another id. In one day a single such request caused 67 crashes
+//! of 18 engines, each with all that ran there. What stays the same over the repeats is the
+//! request's digest: caller, path and body.
 //!
-//! **Evidence** is an upstream's end with the requests that were under way there, of all daemons
-//! together. It says which requests *may* have done it: of some twenty, one has.
+//! **Evidence** is the crash of an upstream together with the requests that were in flight there,
+//! of all daemons. It says which requests *may* have caused the crash: one of some twenty did.
 //!
-//! **Told apart** they are by what else happened to them. A request that was answered whole has ended
-//! nothing: its evidence is dropped. One that was at three ends ([`CRASHES_TO_QUARANTINE`]) is stopped, unless
-//! another request that was at one of these was at as many or more: whoever merely ran beside it was
-//! at some of its ends, seldom at all. Of requests that can't be told from each other so, none is
-//! stopped until one is at a further end, or they are at [`TIED_ENDS`] together. An end at which a
-//! stopped request was is explained by it and speaks against nobody else; a request that was stopped
-//! and turns out to be explained is let go. An upstream that died of something else counts against
-//! what ran there as one end of three; a request must meet three such deaths, with no answer in
-//! between, to be taken for their cause.
+//! **Attribution** uses what else happened to each request. A request that completed successfully
+//! has caused no crash: its evidence is dropped. A request that was in flight at three crashes
+//! ([`CRASHES_TO_QUARANTINE`]) is quarantined, unless another request that was in flight at one of
+//! these was at as many or more: a request that is merely concurrent is at some of the crashes,
+//! seldom at all of them. Of requests that can't be told apart in this way none is quarantined
+//! until one is at a further crash, or they are at [`TIED_CRASHES_TO_QUARANTINE`] together. A crash
+//! at which a quarantined request was in flight is explained by it and is evidence against no
+//! other; a quarantined request whose crashes turn out to be explained is released. A crash with an
+//! unrelated cause counts against each request in flight there as one of three; a request must meet
+//! three of them, with no successful answer in between, to be quarantined by mistake.
 //!
-//! **Ends that come together** have a cause of their own: a rack without power, a fault of their
-//! host. A request that is tried at one upstream after the other, or whose caller repeats it at once,
-//! meets several of them. One attempt runs at two upstreams, so three ends or more within
-//! [`TOGETHER_MS`] count as one. They are told with their ages, since those told in one message would
-//! else look together.
+//! **Simultaneous crashes** have a common cause, such as a rack without power or a fault of their
+//! host. A request that is retried at one upstream after another, or that its caller repeats at
+//! once, meets several of them. One attempt runs at up to two upstreams, so three crashes or more
+//! within [`SIMULTANEOUS_MS`] count as one. Daemons send crashes with their ages, since those that
+//! arrive in one message would otherwise look simultaneous.
 //!
-//! **For how long.** Evidence counts for [`EVIDENCE_MS`]. A request is stopped for [`FIRST_QUARANTINE_MS`],
-//! then has one more chance, since its upstreams may have been mended: an answer clears it, one more
-//! end stops it for twice as long, up to [`MAX_QUARANTINE_MS`].
+//! **Duration.** Evidence counts for [`EVIDENCE_RETENTION_MS`]. A request is quarantined for
+//! [`FIRST_QUARANTINE_MS`], then may be retried, since its upstreams may have been repaired: a
+//! successful answer clears it, one more crash quarantines it for twice as long, up to
+//! [`MAX_QUARANTINE_MS`].
 //!
-//! **Memory** is bounded by [`MOST_ENDS`] ends with [`MOST_REQUESTS`] requests each and by
-//! [`MOST_STOPS`] stopped requests: the oldest go first.
+//! **Memory** is bounded by [`MAX_CRASHES`] crashes with [`MAX_REQUESTS_PER_CRASH`] requests each,
+//! whose oldest crash is removed first, and by [`MAX_QUARANTINES`] quarantines, of which the one
+//! that is over first is removed first.
 
 use guava_types::{Deadline, FastMap, FastSet, Moment, RequestDigest, UpstreamId};
 
-/// Ends of upstreams at which a request was, to be stopped. At two, a request would be stopped whose
-/// second try went where the guilty one's second try went as well; each more than three costs one
-/// more upstream with all that runs there.
+/// Crashes at which a request was in flight for it to be quarantined. At two, a request would be
+/// quarantined whose retry went to the same upstream as that of the crash-inducing one; each above
+/// three costs one more upstream with all that runs there.
 pub const CRASHES_TO_QUARANTINE: usize = 3;
-/// Ends at which requests that can't be told from each other are all stopped.
-const TIED_ENDS: usize = 5;
-/// Span within which ends come together, in milliseconds: processes that end at once are noticed
-/// within it.
-const TOGETHER_MS: u64 = 50;
-/// Ends within that span that have a cause of their own: more than one attempt can bring about.
-const TOGETHER_ENDS: usize = 3;
-/// For how long an end counts, in milliseconds: callers come again within seconds, or not for it.
-const EVIDENCE_MS: u64 = 600_000;
-/// For how long a request is stopped at first, in milliseconds.
+/// Crashes at which requests that can't be told apart are all quarantined.
+const TIED_CRASHES_TO_QUARANTINE: usize = 5;
+/// Span within which crashes are simultaneous, in milliseconds: processes that exit at once are
+/// noticed within it.
+const SIMULTANEOUS_MS: u64 = 50;
+/// Crashes within that span that are taken for one: more than a single attempt can cause.
+const SIMULTANEOUS_CRASHES: usize = 3;
+/// How long a crash counts as evidence, in milliseconds. Callers repeat a request within seconds,
+/// or for another reason.
+const EVIDENCE_RETENTION_MS: u64 = 600_000;
+/// Duration of a request's first quarantine, in milliseconds.
 pub const FIRST_QUARANTINE_MS: u64 = 600_000;
-/// For how long it is stopped at most: the next day somebody may have mended the upstreams.
+/// Longest quarantine, in milliseconds. By the next day the upstreams may have been repaired.
 const MAX_QUARANTINE_MS: u64 = 6 * 3_600_000;
-/// How long a request is remembered after it was stopped, in milliseconds, so that one more end
-/// stops it again.
-const REMEMBERED_MS: u64 = 3_600_000;
-/// For how long a request that was cleared can't be stopped by others' older word, in milliseconds:
-/// daemons repeat their words on ends for ten seconds at most.
-const CLEARED_MS: u64 = 12_000;
-/// Ends remembered at most: some minutes of the worst wave seen, four ends a second.
-const MOST_ENDS: usize = 512;
-/// Requests remembered of one end: more than an upstream runs at a time with its queue.
-const MOST_REQUESTS: usize = 320;
-/// Stopped requests remembered at most: each has cost three upstreams.
-const MOST_STOPS: usize = 128;
-
-/// A stopped request, as daemons tell each other.
+/// How long a request is retained after its quarantine, in milliseconds, so that one more crash
+/// quarantines it again.
+const QUARANTINE_RETENTION_MS: u64 = 3_600_000;
+/// How long older reports of peers can't quarantine a cleared request, in milliseconds. Daemons
+/// repeat reports of crashes for ten seconds at most.
+const CLEARED_RETENTION_MS: u64 = 12_000;
+/// Crashes retained: some minutes at the highest rate seen, four crashes a second.
+const MAX_CRASHES: usize = 512;
+/// Requests retained for each crash: more than an upstream runs at a time, its queue included.
+const MAX_REQUESTS_PER_CRASH: usize = 320;
+/// Quarantines retained. Each has cost three upstreams.
+const MAX_QUARANTINES: usize = 128;
+
+/// A quarantined request, as daemons report it to each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuarantineNotice {
-    /// Which.
+    /// Digest of the request.
     pub request: RequestDigest,
-    /// For how much longer, in milliseconds; clocks are never compared.
+    /// Time left, in milliseconds. A duration, because daemons' clocks are never compared.
     pub left_ms: u64,
-    /// How often it has been stopped.
+    /// How often it has been quarantined, this time included.
     pub times: u32,
 }
 
-/// A request against which nothing is held up to a moment, as daemons tell each other.
+/// A request whose evidence up to a moment is dropped, as daemons report it to each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClearNotice {
-    /// Which.
+    /// Digest of the request.
     pub request: RequestDigest,
-    /// When it was found to do no harm; as an age between daemons.
+    /// When it was cleared, on this daemon's clock; daemons send it as an age.
     pub at: Moment,
 }
 
-/// What a change of the evidence led to.
+/// Effect of new evidence on the ledger.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LedgerChange {
-    /// Whether anything was not known before.
+    /// Whether the crash, or one of its requests, was unknown before.
     pub is_change: bool,
-    /// Requests that are stopped from now on.
+    /// Requests that are quarantined from now on.
     pub quarantined: Vec<RequestDigest>,
-    /// Requests that are let go: they are explained by another.
+    /// Requests whose quarantine is lifted early, because their crashes are explained by others.
     pub released: Vec<RequestDigest>,
 }
 
 #[derive(Clone, Debug)]
 struct UpstreamCrash {
-    /// When it ended, by the earliest that is known.
+    /// The earliest moment reported for it.
     at: Moment,
     requests: FastSet<RequestDigest>,
 }
@@ -104,47 +109,54 @@
 struct RequestQuarantine {
     until: Deadline,
     times: u32,
-    /// Whether the evidence here led to it, not a peer's word or a record.
-    is_found_here: bool,
+    /// Whether local evidence led to it, not a peer's report or a record.
+    is_found_locally: bool,
 }
 
-/// What is known of upstreams' ends and the requests under way there.
+/// Crashes of upstreams, the requests that were in flight there, and the quarantines that follow.
 #[derive(Clone, Debug, Default)]
 pub struct CrashLedger {
-    ends: FastMap<UpstreamId, UpstreamCrash>,
-    /// At how many ends each request was.
+    crashes: FastMap<UpstreamId, UpstreamCrash>,
+    /// At how many crashes each request was in flight.
     counts: FastMap<RequestDigest, usize>,
-    stops: FastMap<RequestDigest, RequestQuarantine>,
+    quarantines: FastMap<RequestDigest, RequestQuarantine>,
     cleared: FastMap<RequestDigest, ClearedRequest>,
 }
 
-/// A request against which nothing is held any more.
+/// A request whose evidence was dropped.
 #[derive(Clone, Copy, Debug)]
 struct ClearedRequest {
     at: Moment,
     until: Deadline,
-    /// Whether this daemon found it, and tells the others. If all passed it on, it would never end.
+    /// Whether this daemon cleared it and therefore reports it to peers. If every receiver repeated
+    /// the report, it would circulate without end.
     is_own: bool,
 }
 
-fn stop_ms(times: u32) -> u64 {
+fn quarantine_ms(times: u32) -> u64 {
     let doubled = times.saturating_sub(1).min(16);
     (FIRST_QUARANTINE_MS << doubled).min(MAX_QUARANTINE_MS)
 }
 
 impl CrashLedger {
-    /// Whether nothing is known: then no request need be looked up, which takes its digest.
+    /// Whether no request has evidence or a quarantine, so that callers need not compute a digest.
     pub fn is_empty(&self) -> bool {
-        self.counts.is_empty() && self.stops.is_empty()
+        self.counts.is_empty() && self.quarantines.is_empty()
     }
 
-    /// Until when a request is stopped, if it is.
+    /// The end of a request's quarantine; `None` if it isn't quarantined at `now`.
     pub fn quarantined_until(&self, request: RequestDigest, now: Moment) -> Option<Deadline> {
-        self.stops.get(&request).map(|stop| stop.until).filter(|until| !until.passed(now))
+        self.quarantines
+            .get(&request)
+            .map(|quarantine| quarantine.until)
+            .filter(|until| !until.passed(now))
     }
 
-    /// Takes in that an upstream ended at some moment while these requests were under way there, as
-    /// this daemon or another saw it.
+    /// Records that an upstream crashed at a moment while these requests were in flight there, as
+    /// observed by this daemon or reported by a peer.
+    ///
+    /// The same crash may be recorded repeatedly: the earliest moment counts, and each request
+    /// once.
     pub fn note_crash(
         &mut self,
         upstream: &UpstreamId,
@@ -152,51 +164,55 @@
         at: Moment,
         now: Moment,
     ) -> LedgerChange {
-        if !self.ends.contains_key(upstream) && self.ends.len() >= MOST_ENDS {
-            self.forget_oldest_end();
+        if !self.crashes.contains_key(upstream) && self.crashes.len() >= MAX_CRASHES {
+            self.remove_oldest_crash();
         }
-        let mut news = LedgerChange::default();
-        let end = self.ends.entry(upstream.clone()).or_insert_with(|| {
-            news.is_change = true;
+        let mut change = LedgerChange::default();
+        let crash = self.crashes.entry(upstream.clone()).or_insert_with(|| {
+            change.is_change = true;
             UpstreamCrash { at, requests: FastSet::default() }
         });
-        // Whoever noticed it first knows best.
-        end.at = end.at.min(at);
+        // The earliest observation is the closest to the crash.
+        crash.at = crash.at.min(at);
         let mut is_at_limit = false;
         for request in requests {
-            // Daemons repeat their words: an end from before a request was cleared is no new one.
-            // Taken for new, a request that met one end now and then would be stopped, though it
-            // was answered each time.
-            if self.cleared.get(request).is_some_and(|cleared| end.at <= cleared.at) {
+            // Peers repeat their reports, so a crash from before a request was cleared is not new
+            // evidence. Otherwise a request that meets a crash now and then would be quarantined,
+            // although it was answered each time.
+            if self.cleared.get(request).is_some_and(|cleared| crash.at <= cleared.at) {
                 continue;
             }
-            if end.requests.len() >= MOST_REQUESTS || !end.requests.insert(*request) {
+            if crash.requests.len() >= MAX_REQUESTS_PER_CRASH || !crash.requests.insert(*request) {
                 continue;
             }
-            news.is_change = true;
+            change.is_change = true;
             let count = self.counts.entry(*request).or_default();
             *count += 1;
-            let had_its_chance = self.stops.get(request).is_some_and(|stop| stop.until.passed(now));
-            is_at_limit |= *count >= CRASHES_TO_QUARANTINE || had_its_chance;
+            let is_quarantine_over = self
+                .quarantines
+                .get(request)
+                .is_some_and(|quarantine| quarantine.until.passed(now));
+            is_at_limit |= *count >= CRASHES_TO_QUARANTINE || is_quarantine_over;
         }
         if is_at_limit {
-            self.judge(now, &mut news);
+            self.update_quarantines(now, &mut change);
         }
-        news
+        change
     }
 
-    /// Takes in that a request was answered whole: it does not end what runs it. Whether anything
-    /// was known against it.
+    /// Clears a request that completed successfully. Returns whether it had evidence or a
+    /// quarantine.
     pub fn note_answer(&mut self, request: RequestDigest, now: Moment) -> bool {
-        let was_known = self.counts.contains_key(&request) || self.stops.contains_key(&request);
+        let was_known =
+            self.counts.contains_key(&request) || self.quarantines.contains_key(&request);
         if was_known {
             self.clear(ClearNotice { request, at: now }, now, true);
         }
         was_known
     }
 
-    /// Takes in that another daemon has nothing against a request up to some moment. Daemons repeat
-    /// that for seconds, in which the request may have met further ends.
+    /// Applies a peer's report that a request is cleared up to a moment. Peers repeat the report
+    /// for seconds, in which the request may have met further crashes: these stay.
     pub fn note_cleared(&mut self, notice: ClearNotice, now: Moment) {
         let known = self.cleared.get(&notice.request);
         if known.is_none_or(|known| known.at < notice.at) {
@@ -204,135 +220,147 @@
         }
     }
 
-    /// Takes in that another daemon has stopped a request; whether that is news.
-    pub fn note_from_peer(&mut self, told: QuarantineNotice, now: Moment) -> bool {
-        if self.cleared.contains_key(&told.request) {
+    /// Applies a peer's report that a request is quarantined. Returns whether that changed
+    /// anything.
+    pub fn note_from_peer(&mut self, reported: QuarantineNotice, now: Moment) -> bool {
+        if self.cleared.contains_key(&reported.request) {
             return false;
         }
-        // Told the same again, what is known stays: each word is a message's way longer than true,
-        // and a request that has its chance here would lose it to a daemon whose time ends later.
-        if self.stops.get(&told.request).is_some_and(|known| known.times >= told.times) {
+        // A repeated report changes nothing. Each one is late by its transit time, and a request
+        // whose quarantine is over here would lose its retry to a daemon whose quarantine is over
+        // later.
+        if self
+            .quarantines
+            .get(&reported.request)
+            .is_some_and(|known| known.times >= reported.times)
+        {
             return false;
         }
-        let until = Deadline::after(now, told.left_ms.min(MAX_QUARANTINE_MS));
-        let stop = RequestQuarantine { until, times: told.times, is_found_here: false };
-        self.insert_stop(told.request, stop);
+        let until = Deadline::after(now, reported.left_ms.min(MAX_QUARANTINE_MS));
+        let quarantine =
+            RequestQuarantine { until, times: reported.times, is_found_locally: false };
+        self.insert_quarantine(reported.request, quarantine);
         true
     }
 
-    /// Takes in the record of a stopped request: how long ago it was stopped nobody tells, so the
-    /// whole time begins anew. Whether that is news.
+    /// Applies the stored record of a quarantine. The record has no time, so the full duration
+    /// begins anew. Returns whether that changed anything.
     pub fn note_record(&mut self, request: RequestDigest, times: u32, now: Moment) -> bool {
-        self.note_from_peer(QuarantineNotice { request, left_ms: stop_ms(times), times }, now)
+        self.note_from_peer(QuarantineNotice { request, left_ms: quarantine_ms(times), times }, now)
     }
 
-    /// The stopped requests.
+    /// Quarantines in force at `now`.
     pub fn quarantines(&self, now: Moment) -> impl Iterator<Item = QuarantineNotice> {
-        let stopped = self.stops.iter().filter(move |(_, stop)| !stop.until.passed(now));
-        stopped.map(move |(request, stop)| QuarantineNotice {
+        let quarantined =
+            self.quarantines.iter().filter(move |(_, quarantine)| !quarantine.until.passed(now));
+        quarantined.map(move |(request, quarantine)| QuarantineNotice {
             request: *request,
-            left_ms: stop.until.millis_left(now),
-            times: stop.times,
+            left_ms: quarantine.until.millis_left(now),
+            times: quarantine.times,
         })
     }
 
-    /// Ends since a moment, each with its own and the requests that were under way there.
+    /// Crashes since a moment, each with its own moment and the requests that were in flight there.
     pub fn crashes_since(
         &self,
         moment: Moment,
     ) -> impl Iterator<Item = (&UpstreamId, Moment, impl Iterator<Item = &RequestDigest>)> {
-        let recent = self.ends.iter().filter(move |(_, end)| end.at >= moment);
-        recent.map(|(upstream, end)| (upstream, end.at, end.requests.iter()))
+        let recent = self.crashes.iter().filter(move |(_, crash)| crash.at >= moment);
+        recent.map(|(upstream, crash)| (upstream, crash.at, crash.requests.iter()))
     }
 
-    /// All requests that were stopped and are remembered, and how often each was.
+    /// All retained quarantines, those that are over included, with how often each request was
+    /// quarantined.
     pub fn retained_quarantines(&self) -> impl Iterator<Item = (RequestDigest, u32)> {
-        self.stops.iter().map(|(request, stop)| (*request, stop.times))
+        self.quarantines.iter().map(|(request, quarantine)| (*request, quarantine.times))
     }
 
-    /// How often a request has been stopped, if it is remembered.
+    /// How often a request has been quarantined; `None` if no quarantine of it is retained.
     pub fn quarantine_count(&self, request: RequestDigest) -> Option<u32> {
-        self.stops.get(&request).map(|stop| stop.times)
+        self.quarantines.get(&request).map(|quarantine| quarantine.times)
     }
 
-    /// How many ends are remembered.
+    /// Number of retained crashes.
     pub fn crash_count(&self) -> usize {
-        self.ends.len()
+        self.crashes.len()
     }
 
-    /// Requests that this daemon cleared a moment ago.
+    /// Requests that this daemon itself cleared recently, to be reported to peers.
     pub fn cleared(&self) -> impl Iterator<Item = ClearNotice> {
         let own = self.cleared.iter().filter(|(_, cleared)| cleared.is_own);
         own.map(|(request, cleared)| ClearNotice { request: *request, at: cleared.at })
     }
 
-    /// Forgets what is over; the stopped requests that are forgotten.
+    /// Removes what is past its retention. Returns the requests whose quarantine was removed.
     pub fn sweep(&mut self, now: Moment) -> Vec<RequestDigest> {
         self.cleared.retain(|_, cleared| !cleared.until.passed(now));
-        let is_old = |end: &UpstreamCrash| now.millis_since(end.at) > EVIDENCE_MS;
-        let old = self.ends.iter().filter(|(_, end)| is_old(end));
-        let old: Vec<UpstreamId> = old.map(|(id, _)| id.clone()).collect();
-        old.iter().for_each(|id| self.forget_end(id));
-        let is_over =
-            |stop: &RequestQuarantine| Deadline::after(stop.until.0, REMEMBERED_MS).passed(now);
-        let over = self.stops.iter().filter(|(_, stop)| is_over(stop));
-        let over: Vec<RequestDigest> = over.map(|(request, _)| *request).collect();
-        for request in &over {
-            self.stops.remove(request);
+        let is_expired = |crash: &UpstreamCrash| now.millis_since(crash.at) > EVIDENCE_RETENTION_MS;
+        let expired = self.crashes.iter().filter(|(_, crash)| is_expired(crash));
+        let expired: Vec<UpstreamId> = expired.map(|(id, _)| id.clone()).collect();
+        expired.iter().for_each(|id| self.remove_crash(id));
+        let is_past_retention = |quarantine: &RequestQuarantine| {
+            Deadline::after(quarantine.until.0, QUARANTINE_RETENTION_MS).passed(now)
+        };
+        let past_retention =
+            self.quarantines.iter().filter(|(_, quarantine)| is_past_retention(quarantine));
+        let past_retention: Vec<RequestDigest> =
+            past_retention.map(|(request, _)| *request).collect();
+        for request in &past_retention {
+            self.quarantines.remove(request);
         }
-        over
+        past_retention
     }
 
     fn clear(&mut self, notice: ClearNotice, now: Moment, is_own: bool) {
         let request = notice.request;
-        let mut later_ends = 0;
-        for end in self.ends.values_mut().filter(|end| end.requests.contains(&request)) {
-            if end.at <= notice.at {
-                end.requests.remove(&request);
+        let mut later_crashes = 0;
+        for crash in self.crashes.values_mut().filter(|crash| crash.requests.contains(&request)) {
+            if crash.at <= notice.at {
+                crash.requests.remove(&request);
             } else {
-                later_ends += 1;
+                later_crashes += 1;
             }
         }
-        if later_ends == 0 {
+        if later_crashes == 0 {
             self.counts.remove(&request);
         } else {
-            self.counts.insert(request, later_ends);
+            self.counts.insert(request, later_crashes);
         }
-        if later_ends < CRASHES_TO_QUARANTINE {
-            self.stops.remove(&request);
+        if later_crashes < CRASHES_TO_QUARANTINE {
+            self.quarantines.remove(&request);
         }
         self.note_clear(notice, now, is_own);
     }
 
     fn note_clear(&mut self, notice: ClearNotice, now: Moment, is_own: bool) {
         let is_known = self.cleared.contains_key(&notice.request);
-        if is_known || self.cleared.len() < MOST_STOPS {
-            let until = Deadline::after(now, CLEARED_MS);
+        if is_known || self.cleared.len() < MAX_QUARANTINES {
+            let until = Deadline::after(now, CLEARED_RETENTION_MS);
             let cleared = ClearedRequest { at: notice.at, until, is_own };
             self.cleared.insert(notice.request, cleared);
         }
     }
 
-    fn insert_stop(&mut self, request: RequestDigest, stop: RequestQuarantine) {
-        if !self.stops.contains_key(&request) && self.stops.len() >= MOST_STOPS {
-            let first = self.stops.iter().min_by_key(|(_, stop)| stop.until);
+    fn insert_quarantine(&mut self, request: RequestDigest, quarantine: RequestQuarantine) {
+        if !self.quarantines.contains_key(&request) && self.quarantines.len() >= MAX_QUARANTINES {
+            let first = self.quarantines.iter().min_by_key(|(_, quarantine)| quarantine.until);
             if let Some(first) = first.map(|(request, _)| *request) {
-                self.stops.remove(&first);
+                self.quarantines.remove(&first);
             }
         }
-        self.stops.insert(request, stop);
+        self.quarantines.insert(request, quarantine);
     }
 
-    fn forget_oldest_end(&mut self) {
-        let oldest = self.ends.iter().min_by_key(|(_, end)| end.at);
+    fn remove_oldest_crash(&mut self) {
+        let oldest = self.crashes.iter().min_by_key(|(_, crash)| crash.at);
         if let Some(id) = oldest.map(|(id, _)| id.clone()) {
-            self.forget_end(&id);
+            self.remove_crash(&id);
         }
     }
 
-    fn forget_end(&mut self, upstream: &UpstreamId) {
-        let Some(end) = self.ends.remove(upstream) else { return };
-        for request in &end.requests {
+    fn remove_crash(&mut self, upstream: &UpstreamId) {
+        let Some(crash) = self.crashes.remove(upstream) else { return };
+        for request in &crash.requests {
             if let Some(count) = self.counts.get_mut(request) {
                 *count -= 1;
                 if *count == 0 {
@@ -342,120 +370,130 @@
         }
     }
 
-    /// Judges all requests by the evidence as it is now.
-    fn judge(&mut self, now: Moment, news: &mut LedgerChange) {
-        let blamed = self.blamed(now);
-        let stopped: Vec<RequestDigest> = self.stops.keys().copied().collect();
-        for request in stopped {
-            if !blamed.contains(&request) && self.is_explained(request, &blamed) {
-                self.stops.remove(&request);
+    /// Quarantines and releases requests by the current evidence.
+    fn update_quarantines(&mut self, now: Moment, change: &mut LedgerChange) {
+        let crash_inducing = self.crash_inducing(now);
+        let quarantined: Vec<RequestDigest> = self.quarantines.keys().copied().collect();
+        for request in quarantined {
+            if !crash_inducing.contains(&request) && self.is_explained(request, &crash_inducing) {
+                self.quarantines.remove(&request);
                 self.note_clear(ClearNotice { request, at: now }, now, true);
-                news.released.push(request);
+                change.released.push(request);
             }
         }
-        for request in blamed {
+        for request in crash_inducing {
             if self.quarantined_until(request, now).is_some() {
                 continue;
             }
-            let times = self.stops.get(&request).map_or(0, |stop| stop.times) + 1;
-            let until = Deadline::after(now, stop_ms(times));
+            let times = self.quarantines.get(&request).map_or(0, |quarantine| quarantine.times) + 1;
+            let until = Deadline::after(now, quarantine_ms(times));
             self.cleared.remove(&request);
-            self.insert_stop(request, RequestQuarantine { until, times, is_found_here: true });
-            news.quarantined.push(request);
+            self.insert_quarantine(
+                request,
+                RequestQuarantine { until, times, is_found_locally: true },
+            );
+            change.quarantined.push(request);
         }
     }
 
-    /// Whether a request was stopped for ends that others have brought about. What a peer stopped by
-    /// evidence that is not all known here is not.
-    fn is_explained(&self, request: RequestDigest, blamed: &[RequestDigest]) -> bool {
-        let own = self.ends.values().filter(|end| end.requests.contains(&request));
-        let is_open = |end: &&UpstreamCrash| !blamed.iter().any(|by| end.requests.contains(by));
-        let (open, explained): (Vec<_>, Vec<_>) = own.partition(is_open);
-        let count = open.len() + explained.len();
-        // Ends that were learnt of later may show that some came together.
-        let is_found_here = self.stops.get(&request).is_some_and(|stop| stop.is_found_here);
-        let open_count = if is_found_here {
-            let is_at = |occasion: &FastSet<RequestDigest>| {
-                let is_open = !blamed.iter().any(|by| occasion.contains(by));
-                is_open && occasion.contains(&request)
+    /// Whether a request was quarantined for crashes that others caused. A quarantine reported by a
+    /// peer, on evidence that isn't all known here, is not explained.
+    fn is_explained(&self, request: RequestDigest, crash_inducing: &[RequestDigest]) -> bool {
+        let own = self.crashes.values().filter(|crash| crash.requests.contains(&request));
+        let is_unexplained =
+            |crash: &&UpstreamCrash| !crash_inducing.iter().any(|by| crash.requests.contains(by));
+        let (unexplained, explained): (Vec<_>, Vec<_>) = own.partition(is_unexplained);
+        let count = unexplained.len() + explained.len();
+        // Crashes reported later may show that some were simultaneous.
+        let is_found_locally =
+            self.quarantines.get(&request).is_some_and(|quarantine| quarantine.is_found_locally);
+        let unexplained_count = if is_found_locally {
+            let is_present = |incident: &FastSet<RequestDigest>| {
+                let is_unexplained = !crash_inducing.iter().any(|by| incident.contains(by));
+                is_unexplained && incident.contains(&request)
             };
-            self.occasions().iter().filter(|occasion| is_at(occasion)).count()
+            self.incidents().iter().filter(|incident| is_present(incident)).count()
         } else {
-            open.len()
+            unexplained.len()
         };
-        count >= CRASHES_TO_QUARANTINE && open_count < CRASHES_TO_QUARANTINE
+        count >= CRASHES_TO_QUARANTINE && unexplained_count < CRASHES_TO_QUARANTINE
     }
 
-    /// The requests under way at each occasion on which upstreams ended: one end, or several that
-    /// came together.
-    fn occasions(&self) -> Vec<FastSet<RequestDigest>> {
-        let mut ends: Vec<&UpstreamCrash> = self.ends.values().collect();
-        ends.sort_unstable_by_key(|end| end.at);
-        let mut occasions = Vec::new();
-        let mut rest = ends.as_slice();
+    /// The requests in flight at each incident: one crash, or several simultaneous ones.
+    fn incidents(&self) -> Vec<FastSet<RequestDigest>> {
+        let mut crashes: Vec<&UpstreamCrash> = self.crashes.values().collect();
+        crashes.sort_unstable_by_key(|crash| crash.at);
+        let mut incidents = Vec::new();
+        let mut rest = crashes.as_slice();
         while let Some(first) = rest.first() {
-            // Bounded from the first on: a chain of repeats at once must not count as one for ever.
-            let until = Deadline::after(first.at, TOGETHER_MS);
-            let (together, later) =
-                rest.split_at(rest.partition_point(|end| !until.passed(end.at)));
+            // The span is counted from the first crash: a chain of immediate repeats must not count
+            // as a single incident without end.
+            let until = Deadline::after(first.at, SIMULTANEOUS_MS);
+            let (simultaneous, later) =
+                rest.split_at(rest.partition_point(|crash| !until.passed(crash.at)));
             rest = later;
-            if together.len() >= TOGETHER_ENDS {
-                let all = together.iter().flat_map(|end| end.requests.iter().copied());
-                occasions.push(all.collect());
+            if simultaneous.len() >= SIMULTANEOUS_CRASHES {
+                let all = simultaneous.iter().flat_map(|crash| crash.requests.iter().copied());
+                incidents.push(all.collect());
             } else {
-                occasions.extend(together.iter().map(|end| end.requests.clone()));
+                incidents.extend(simultaneous.iter().map(|crash| crash.requests.clone()));
             }
         }
-        occasions
+        incidents
     }
 
-    /// The requests that have ended upstreams, by the evidence: those at most ends first, and what
-    /// they explain speaks against no other.
-    fn blamed(&self, now: Moment) -> Vec<RequestDigest> {
-        let occasions = self.occasions();
-        let mut open: Vec<&FastSet<RequestDigest>> = occasions.iter().collect();
-        // What peers found by evidence that is not all known here.
-        let is_told = |request: &RequestDigest, stop: &RequestQuarantine| {
+    /// The crash-inducing requests by the current evidence. Those at the most crashes are found
+    /// first, and the crashes that they explain are evidence against no other.
+    fn crash_inducing(&self, now: Moment) -> Vec<RequestDigest> {
+        let incidents = self.incidents();
+        let mut unexplained: Vec<&FastSet<RequestDigest>> = incidents.iter().collect();
+        // Quarantines that peers found by evidence that isn't all known here.
+        let is_reported = |request: &RequestDigest, quarantine: &RequestQuarantine| {
             let count = self.counts.get(request).copied().unwrap_or(0);
-            count < CRASHES_TO_QUARANTINE && !stop.until.passed(now)
+            count < CRASHES_TO_QUARANTINE && !quarantine.until.passed(now)
+        };
+        let reported = self
+            .quarantines
+            .iter()
+            .filter(|(request, quarantine)| is_reported(request, quarantine));
+        let mut crash_inducing: Vec<RequestDigest> =
+            reported.map(|(request, _)| *request).collect();
+        unexplained.retain(|crash| !crash_inducing.iter().any(|request| crash.contains(request)));
+        let is_quarantine_over = |request: &RequestDigest| {
+            self.quarantines.get(request).is_some_and(|s| s.until.passed(now))
         };
-        let told = self.stops.iter().filter(|(request, stop)| is_told(request, stop));
-        let mut blamed: Vec<RequestDigest> = told.map(|(request, _)| *request).collect();
-        open.retain(|end| !blamed.iter().any(|request| end.contains(request)));
-        let had_its_chance =
-            |request: &RequestDigest| self.stops.get(request).is_some_and(|s| s.until.passed(now));
         loop {
-            let found = guilty(&open, had_its_chance);
+            let found = select_crash_inducing(&unexplained, is_quarantine_over);
             if found.is_empty() {
-                return blamed;
+                return crash_inducing;
             }
-            open.retain(|end| !found.iter().any(|request| end.contains(request)));
-            blamed.extend(found);
+            unexplained.retain(|crash| !found.iter().any(|request| crash.contains(request)));
+            crash_inducing.extend(found);
         }
     }
 }
 
-/// The request that was at most of these ends, if it can be told from the others there; or all that
-/// were at as many, once that is too many.
-fn guilty(
-    open: &[&FastSet<RequestDigest>],
-    had_its_chance: impl Fn(&RequestDigest) -> bool,
+/// The request that was in flight at the most of these crashes, if it can be told from the others
+/// there; or all requests that were at as many, once these are too many.
+fn select_crash_inducing(
+    unexplained: &[&FastSet<RequestDigest>],
+    is_quarantine_over: impl Fn(&RequestDigest) -> bool,
 ) -> Vec<RequestDigest> {
     let mut counts: FastMap<RequestDigest, usize> = FastMap::default();
-    let all = open.iter().flat_map(|end| end.iter());
+    let all = unexplained.iter().flat_map(|crash| crash.iter());
     all.for_each(|request| *counts.entry(*request).or_default() += 1);
     let mut suspects: Vec<(usize, RequestDigest)> = counts
         .iter()
-        .filter(|(request, count)| **count >= CRASHES_TO_QUARANTINE || had_its_chance(request))
+        .filter(|(request, count)| **count >= CRASHES_TO_QUARANTINE || is_quarantine_over(request))
         .map(|(request, count)| (*count, *request))
         .collect();
     suspects.sort_unstable_by(|one, other| other.cmp(one));
     for (count, request) in suspects {
-        if had_its_chance(&request) {
+        if is_quarantine_over(&request) {
             return vec![request];
         }
-        let mut tied = tied_with(open, &counts, request);
-        if tied.is_empty() || count >= TIED_ENDS {
+        let mut tied = tied_with(unexplained, &counts, request);
+        if tied.is_empty() || count >= TIED_CRASHES_TO_QUARANTINE {
             tied.push(request);
             return tied;
         }
@@ -463,15 +501,16 @@
     Vec::new()
 }
 
-/// Other requests that were at as many ends or more, one of them this one's.
+/// Other requests that were at as many of these crashes or more, at least one of them in common
+/// with this request.
 fn tied_with(
-    open: &[&FastSet<RequestDigest>],
+    unexplained: &[&FastSet<RequestDigest>],
     counts: &FastMap<RequestDigest, usize>,
     request: RequestDigest,
 ) -> Vec<RequestDigest> {
     let count = |request: &RequestDigest| counts.get(request).copied().unwrap_or(0);
-    let shared = open.iter().filter(|end| end.contains(&request));
-    let others = shared.flat_map(|end| end.iter()).filter(|other| **other != request);
+    let shared = unexplained.iter().filter(|crash| crash.contains(&request));
+    let others = shared.flat_map(|crash| crash.iter()).filter(|other| **other != request);
     let mut tied: Vec<RequestDigest> =
         others.filter(|other| count(other) >= count(&request)).copied().collect();
     tied.sort_unstable();
--- a/crates/guava-policy/tests/crash_ledger.rs
+++ b/crates/guava-policy/tests/crash_ledger.rs
@@ -1,4 +1,4 @@
-//! Which requests are stopped for upstreams that ended, and which are not.
+//! Which requests are quarantined after crashes of upstreams, and which are not.
 
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
@@ -20,78 +20,82 @@
     Moment(NOW.0 + millis)
 }
 
-/// When the upstream of this number ended: each by itself, all of them a while ago.
-fn apart(number: usize) -> Moment {
+/// When the upstream of this number crashed: none simultaneous with another, all a while ago.
+fn separate_moment(number: usize) -> Moment {
     Moment(NOW.0 - 60_000 + 1_000 * number as u64)
 }
 
-/// A ledger of ends, one at each upstream and each by itself, with what was under way there.
-fn ledger(ends: &[&[RequestDigest]]) -> CrashLedger {
+/// A ledger of crashes, one at each upstream and none simultaneous, with the requests in flight
+/// there.
+fn ledger(crashes: &[&[RequestDigest]]) -> CrashLedger {
     let mut ledger = CrashLedger::default();
-    for (number, requests) in ends.iter().enumerate() {
-        ledger.note_crash(&id(number), requests, apart(number), NOW);
+    for (number, requests) in crashes.iter().enumerate() {
+        ledger.note_crash(&id(number), requests, separate_moment(number), NOW);
     }
     ledger
 }
 
-fn is_stopped(ledger: &CrashLedger, request: RequestDigest) -> bool {
+fn is_quarantined(ledger: &CrashLedger, request: RequestDigest) -> bool {
     ledger.quarantined_until(request, NOW).is_some()
 }
 
-/// Requests that were nowhere else.
-fn strangers(from: u128) -> Vec<RequestDigest> {
+/// Requests that were in flight at no other crash.
+fn unrelated_requests(from: u128) -> Vec<RequestDigest> {
     (from..from + 20).map(RequestDigest).collect()
 }
 
 #[test]
-fn request_at_three_ends_is_stopped_and_those_beside_it_are_not() {
+fn request_at_three_crashes_is_quarantined_and_concurrent_ones_are_not() {
     let mut ledger = CrashLedger::default();
-    let mut stopped = Vec::new();
+    let mut quarantined = Vec::new();
     for number in 0..CRASHES_TO_QUARANTINE {
-        let mut requests = strangers(100 * (number as u128 + 1));
+        let mut requests = unrelated_requests(100 * (number as u128 + 1));
         requests.push(CRASHING);
-        stopped.push(ledger.note_crash(&id(number), &requests, apart(number), NOW).quarantined);
+        quarantined.push(
+            ledger.note_crash(&id(number), &requests, separate_moment(number), NOW).quarantined,
+        );
     }
 
-    assert_eq!(stopped, [vec![], vec![], vec![CRASHING]]);
-    assert!(!is_stopped(&ledger, RequestDigest(100)));
+    assert_eq!(quarantined, [vec![], vec![], vec![CRASHING]]);
+    assert!(!is_quarantined(&ledger, RequestDigest(100)));
 }
 
 #[test]
-fn one_end_told_by_many_counts_once() {
+fn crash_reported_by_many_peers_counts_once() {
     let mut ledger = CrashLedger::default();
 
     for _ in 0..10 {
-        ledger.note_crash(&id(0), &[CRASHING], apart(0), NOW);
+        ledger.note_crash(&id(0), &[CRASHING], separate_moment(0), NOW);
     }
 
-    assert!(!is_stopped(&ledger, CRASHING));
+    assert!(!is_quarantined(&ledger, CRASHING));
 }
 
 #[test]
-fn request_that_was_always_beside_is_told_from_it_at_the_next_end() {
-    // Symptom: a request that did no harm is refused.
-    // Sequence: its second and third try go where those of the guilty one go.
-    // Cause: who was there was taken for who did it.
+fn concurrent_request_at_every_crash_is_told_apart_at_the_next_crash() {
+    // Symptom: a request that causes no crash is refused.
+    // Sequence: its second and third attempt go to the same upstreams as those of the
+    // crash-inducing one.
+    // Cause: every request in flight at a crash was taken for its cause.
     let both: &[RequestDigest] = &[CRASHING, CONCURRENT];
     let undecided = ledger(&[both, both, both]);
     let decided = ledger(&[both, both, both, &[CRASHING]]);
 
-    assert!(!is_stopped(&undecided, CRASHING) && !is_stopped(&undecided, CONCURRENT));
-    assert!(is_stopped(&decided, CRASHING) && !is_stopped(&decided, CONCURRENT));
+    assert!(!is_quarantined(&undecided, CRASHING) && !is_quarantined(&undecided, CONCURRENT));
+    assert!(is_quarantined(&decided, CRASHING) && !is_quarantined(&decided, CONCURRENT));
 }
 
 #[test]
-fn requests_that_stay_together_are_stopped_together_in_the_end() {
+fn requests_that_stay_tied_are_quarantined_together() {
     let both: &[RequestDigest] = &[CRASHING, CONCURRENT];
 
     let ledger = ledger(&[both; 5]);
 
-    assert!(is_stopped(&ledger, CRASHING) && is_stopped(&ledger, CONCURRENT));
+    assert!(is_quarantined(&ledger, CRASHING) && is_quarantined(&ledger, CONCURRENT));
 }
 
 #[test]
-fn two_guilty_requests_are_both_stopped_and_who_met_both_is_not() {
+fn two_crash_inducing_requests_are_quarantined_and_one_concurrent_with_both_is_not() {
     let other = RequestDigest(3);
     let ledger = ledger(&[
         &[CRASHING, CONCURRENT],
@@ -104,27 +108,31 @@
         &[other],
     ]);
 
-    assert!(is_stopped(&ledger, CRASHING) && is_stopped(&ledger, other));
-    assert!(!is_stopped(&ledger, CONCURRENT));
+    assert!(is_quarantined(&ledger, CRASHING) && is_quarantined(&ledger, other));
+    assert!(!is_quarantined(&ledger, CONCURRENT));
 }
 
 #[test]
-fn request_that_turns_out_to_be_explained_is_let_go() {
-    // Symptom: a request is refused for ten minutes, though it does no harm.
-    // Sequence: it meets three ends of two guilty requests before either is at three; these come
-    // again.
-    // Cause: a verdict on half of the evidence was kept when the rest was in.
+fn request_whose_crashes_turn_out_to_be_explained_is_released() {
+    // Symptom: a request that causes no crash is refused for ten minutes.
+    // Sequence: it is in flight at three crashes of two crash-inducing requests before either of
+    // them is at three; these are then repeated.
+    // Cause: a decision on part of the evidence was kept when the remaining evidence arrived.
     let other = RequestDigest(3);
     let mut ledger =
         ledger(&[&[CRASHING, CONCURRENT], &[other, CONCURRENT], &[CRASHING, CONCURRENT]]);
-    let at_first = is_stopped(&ledger, CONCURRENT);
+    let was_quarantined = is_quarantined(&ledger, CONCURRENT);
 
-    let news: Vec<LedgerChange> = (3..6)
-        .map(|number| ledger.note_crash(&id(number), &[CRASHING], apart(number), NOW))
+    let change: Vec<LedgerChange> = (3..6)
+        .map(|number| ledger.note_crash(&id(number), &[CRASHING], separate_moment(number), NOW))
         .collect();
 
-    assert!(at_first && !is_stopped(&ledger, CONCURRENT) && is_stopped(&ledger, CRASHING));
-    assert!(news.iter().any(|news| news.released == [CONCURRENT]), "{news:?}");
+    assert!(
+        was_quarantined
+            && !is_quarantined(&ledger, CONCURRENT)
+            && is_quarantined(&ledger, CRASHING)
+    );
+    assert!(change.iter().any(|change| change.released == [CONCURRENT]), "{change:?}");
 }
 
 #[test]
@@ -135,12 +143,12 @@
     ledger.note_crash(&id(7), &[CONCURRENT], later(1_000), later(2_000));
     ledger.note_crash(&id(8), &[CONCURRENT], later(2_000), later(2_000));
 
-    assert!(was_known && !is_stopped(&ledger, CONCURRENT));
+    assert!(was_known && !is_quarantined(&ledger, CONCURRENT));
     assert!(!ledger.note_answer(RequestDigest(9), NOW));
 }
 
 #[test]
-fn answer_that_a_peer_saw_clears_a_request_here_and_is_not_passed_on() {
+fn clearing_reported_by_a_peer_applies_here_and_is_not_reported_again() {
     let mut ledger = ledger(&[&[CONCURRENT], &[CONCURRENT]]);
 
     ledger.note_cleared(ClearNotice { request: CONCURRENT, at: NOW }, NOW);
@@ -150,99 +158,101 @@
 }
 
 #[test]
-fn end_told_again_after_an_answer_does_not_count_anew() {
-    // Symptom: a request that comes again and again is refused, though each time it is answered in
+fn crash_repeated_after_an_answer_does_not_count_again() {
+    // Symptom: a request that is repeated regularly is refused, though each time it is answered in
     // the end.
-    // Sequence: an upstream ends while it runs there; it is answered elsewhere, which clears it; a
-    // peer's summary repeats the end.
-    // Cause: what was repeated was taken for new.
+    // Sequence: an upstream crashes while the request is in flight there; it is answered at
+    // another, which clears it; a peer's summary repeats the crash.
+    // Cause: a repeated report was taken for a new crash.
     let mut ledger = ledger(&[&[CONCURRENT], &[CONCURRENT]]);
     ledger.note_cleared(ClearNotice { request: CONCURRENT, at: later(10) }, later(10));
 
-    ledger.note_crash(&id(0), &[CONCURRENT], apart(0), later(20));
-    ledger.note_crash(&id(1), &[CONCURRENT], apart(1), later(20));
+    ledger.note_crash(&id(0), &[CONCURRENT], separate_moment(0), later(20));
+    ledger.note_crash(&id(1), &[CONCURRENT], separate_moment(1), later(20));
     ledger.note_crash(&id(2), &[CONCURRENT], later(30), later(30));
 
     assert!(ledger.quarantined_until(CONCURRENT, later(30)).is_none());
 }
 
 #[test]
-fn ends_that_come_together_count_as_one() {
-    // Symptom: a request that did no harm is refused for ten minutes.
-    // Sequence: all upstreams of a service end at once; the request ran at one, was tried at the
-    // next, and its caller's second attempt ran at the third, all within some milliseconds.
-    // Cause: three ends of one cause were held against it as three.
+fn simultaneous_crashes_count_as_one() {
+    // Symptom: a request that causes no crash is refused for ten minutes.
+    // Sequence: all upstreams of a service crash at once; the request was in flight at one, was
+    // retried at the next, and its caller's second attempt was in flight at the third, all within
+    // some milliseconds.
+    // Cause: three crashes with one cause counted as three.
     let mut ledger = CrashLedger::default();
     for (number, millis) in [0, 8, 14].into_iter().enumerate() {
         ledger.note_crash(&id(number), &[CONCURRENT], later(millis), later(14));
     }
-    let after_one = ledger.quarantined_until(CONCURRENT, later(14)).is_some();
+    let is_quarantined_after_one = ledger.quarantined_until(CONCURRENT, later(14)).is_some();
 
     for number in 3..9 {
         let at = later(10_000 * (number as u64 / 3) + 5 * number as u64);
         ledger.note_crash(&id(number), &[CONCURRENT], at, at);
     }
 
-    assert!(!after_one);
+    assert!(!is_quarantined_after_one);
     assert!(
         ledger.quarantined_until(CONCURRENT, later(20_040)).is_some(),
-        "three times is no chance"
+        "three separate incidents are enough for a quarantine"
     );
 }
 
 #[test]
-fn ends_one_after_the_other_are_no_chance_however_fast_they_come() {
-    // A caller that repeats its request at once, two upstreams an attempt.
+fn crashes_in_rapid_succession_lead_to_a_quarantine() {
+    // A caller that repeats its request at once; each attempt runs at two upstreams.
     let mut ledger = CrashLedger::default();
 
-    let stopped_at = (0..100).find(|number| {
+    let quarantined_at = (0..100).find(|number| {
         let at = later(8 * *number as u64);
         ledger.note_crash(&id(*number), &[CRASHING], at, at).quarantined == [CRASHING]
     });
 
-    assert!(stopped_at.is_some_and(|number| number < 20), "{stopped_at:?}");
+    assert!(quarantined_at.is_some_and(|number| number < 20), "{quarantined_at:?}");
 }
 
 #[test]
-fn ends_told_late_count_by_when_they_were() {
+fn crashes_reported_late_count_by_their_own_moment() {
     let mut ledger = CrashLedger::default();
 
     for number in 0..CRASHES_TO_QUARANTINE {
-        ledger.note_crash(&id(number), &[CRASHING], apart(number), NOW);
+        ledger.note_crash(&id(number), &[CRASHING], separate_moment(number), NOW);
     }
 
-    assert!(is_stopped(&ledger, CRASHING));
+    assert!(is_quarantined(&ledger, CRASHING));
 }
 
 #[test]
-fn request_is_let_go_when_its_ends_turn_out_to_have_come_together() {
+fn request_is_released_when_its_crashes_turn_out_to_be_simultaneous() {
     let mut ledger = CrashLedger::default();
     for (number, millis) in [0, 10, 1_000].into_iter().enumerate() {
         ledger.note_crash(&id(number), &[CONCURRENT], later(millis), later(1_000));
     }
-    let at_first = ledger.quarantined_until(CONCURRENT, later(1_000)).is_some();
+    let was_quarantined = ledger.quarantined_until(CONCURRENT, later(1_000)).is_some();
 
-    // A peer tells of a third end in the same moment as the first two.
-    let news = ledger.note_crash(&id(3), &[CONCURRENT, CRASHING], later(12), later(1_010));
+    // A peer reports a third crash, simultaneous with the first two.
+    let change = ledger.note_crash(&id(3), &[CONCURRENT, CRASHING], later(12), later(1_010));
 
-    assert!(at_first);
-    assert_eq!(news.released, [CONCURRENT]);
+    assert!(was_quarantined);
+    assert_eq!(change.released, [CONCURRENT]);
 }
 
 #[test]
-fn request_that_is_cleared_again_and_again_is_not_stopped() {
-    // Symptom: a request that comes again and again is refused, though each time it is answered in
+fn repeatedly_cleared_request_is_not_quarantined() {
+    // Symptom: a request that is repeated regularly is refused, though each time it is answered in
     // the end.
-    // Sequence: it meets an end and is answered, at one daemon and then at another, all within the
-    // seconds in which daemons repeat that it was cleared.
-    // Cause: a second clearing was taken for the first one told again, and its end was kept.
+    // Sequence: it is in flight at a crash and is answered, at one daemon and then at another, all
+    // within the seconds in which daemons repeat that it was cleared.
+    // Cause: a second clearing was taken for a repeat of the first, and the crash before it was
+    // kept.
     let mut ledger = CrashLedger::default();
     for number in 0..6 {
         let at = later(700 * number as u64);
         ledger.note_crash(&id(number), &[CONCURRENT], at, at);
         let notice = ClearNotice { request: CONCURRENT, at: Moment(at.0 + 300) };
         ledger.note_cleared(notice, notice.at);
-        // Repeated, it takes nothing away that came after it.
+        // A repeated clearing removes no evidence that is newer than it.
         ledger.note_cleared(notice, Moment(at.0 + 650));
     }
 
@@ -250,7 +260,7 @@
 }
 
 #[test]
-fn clearing_that_is_repeated_leaves_later_ends() {
+fn repeated_clearing_keeps_later_crashes() {
     let mut ledger = CrashLedger::default();
     let notice = ClearNotice { request: CRASHING, at: later(0) };
     ledger.note_cleared(notice, later(0));
@@ -259,53 +269,54 @@
     }
 
     ledger.note_cleared(notice, later(600));
-    let news = ledger.note_crash(&id(2), &[CRASHING], later(900), later(900));
+    let change = ledger.note_crash(&id(2), &[CRASHING], later(900), later(900));
 
-    assert_eq!(news.quarantined, [CRASHING]);
+    assert_eq!(change.quarantined, [CRASHING]);
 }
 
 #[test]
-fn stop_that_a_peer_tells_explains_ends_here() {
+fn quarantine_reported_by_a_peer_explains_crashes_here() {
     let mut ledger = ledger(&[&[CRASHING, CONCURRENT], &[CRASHING, CONCURRENT]]);
 
     let is_change = ledger
         .note_from_peer(QuarantineNotice { request: CRASHING, left_ms: 5_000, times: 1 }, NOW);
-    // At more ends known here than the guilty one, whose others a peer knows.
-    ledger.note_crash(&id(5), &[CONCURRENT], apart(5), NOW);
+    // More crashes of this request are known here than of the crash-inducing one; a peer knows the
+    // other crashes of that one.
+    ledger.note_crash(&id(5), &[CONCURRENT], separate_moment(5), NOW);
 
-    assert!(is_change && is_stopped(&ledger, CRASHING) && !is_stopped(&ledger, CONCURRENT));
+    assert!(is_change && is_quarantined(&ledger, CRASHING) && !is_quarantined(&ledger, CONCURRENT));
 }
 
 #[test]
-fn stop_told_again_and_again_does_not_grow() {
+fn repeated_quarantine_report_does_not_extend_it() {
     let mut ledger = CrashLedger::default();
-    let told = QuarantineNotice { request: CRASHING, left_ms: 5_000, times: 1 };
-    ledger.note_from_peer(told, NOW);
+    let reported = QuarantineNotice { request: CRASHING, left_ms: 5_000, times: 1 };
+    ledger.note_from_peer(reported, NOW);
 
-    let is_change = ledger.note_from_peer(told, later(4_000));
+    let is_change = ledger.note_from_peer(reported, later(4_000));
 
     assert!(!is_change && ledger.quarantined_until(CRASHING, later(5_001)).is_none());
 }
 
 #[test]
-fn stopped_request_has_another_chance_and_is_stopped_for_longer_if_it_uses_it_ill() {
+fn quarantined_request_may_be_retried_and_a_further_crash_doubles_the_quarantine() {
     let mut ledger = ledger(&[&[CRASHING], &[CRASHING], &[CRASHING]]);
-    let chance = later(FIRST_QUARANTINE_MS + 1);
-    ledger.sweep(chance);
-    let has_chance = ledger.quarantined_until(CRASHING, chance).is_none();
+    let retry_at = later(FIRST_QUARANTINE_MS + 1);
+    ledger.sweep(retry_at);
+    let is_retry_possible = ledger.quarantined_until(CRASHING, retry_at).is_none();
 
-    let mut beside = strangers(100);
-    beside.push(CRASHING);
-    let news = ledger.note_crash(&id(9), &beside, chance, chance);
+    let mut concurrent = unrelated_requests(100);
+    concurrent.push(CRASHING);
+    let change = ledger.note_crash(&id(9), &concurrent, retry_at, retry_at);
 
-    assert!(has_chance);
-    assert_eq!(news.quarantined, [CRASHING]);
-    let left = ledger.quarantined_until(CRASHING, chance).unwrap().millis_left(chance);
+    assert!(is_retry_possible);
+    assert_eq!(change.quarantined, [CRASHING]);
+    let left = ledger.quarantined_until(CRASHING, retry_at).unwrap().millis_left(retry_at);
     assert_eq!(left, 2 * FIRST_QUARANTINE_MS);
 }
 
 #[test]
-fn ends_long_ago_do_not_count() {
+fn crashes_past_their_retention_do_not_count() {
     let mut ledger = ledger(&[&[CONCURRENT], &[CONCURRENT]]);
 
     ledger.sweep(later(700_000));
@@ -315,14 +326,14 @@
 }
 
 #[test]
-fn request_stopped_before_a_start_is_stopped_after_it() {
+fn recorded_quarantine_survives_a_restart() {
     let mut ledger = CrashLedger::default();
 
     ledger.note_record(CRASHING, 2, NOW);
 
-    let stops: Vec<QuarantineNotice> = ledger.quarantines(NOW).collect();
+    let quarantines: Vec<QuarantineNotice> = ledger.quarantines(NOW).collect();
     assert_eq!(
-        stops,
+        quarantines,
         [QuarantineNotice { request: CRASHING, left_ms: 2 * FIRST_QUARANTINE_MS, times: 2 }]
     );
 }
