--- a/crates/guava-policy/src/admission.rs
+++ b/crates/guava-policy/src/admission.rs
@@ -1,88 +1,90 @@
-//! Admission: each customer's share, a short queue by deadline, and early refusal.
+//! Admission: each customer's share of its limits, a short queue by deadline, and early refusal.
 //!
-//! A customer's limits hold over all daemons without a log record a request: each daemon grants
-//! its share, which follows the customer's use as gossiped, and never less than an equal part.
+//! A customer's limits hold over all daemons together without a log record for each request. Each
+//! daemon grants its share of them, which follows the customer's use as gossiped and is never less
+//! than an equal split.
 //!
-//! What is scarce at the engines is prefill. So slots bound the requests that wait for their first
-//! token; a run that is decoding counts against its customer's concurrency only. Waiting here and
-//! not in the engines' queues keeps the order fair and lets late requests be refused early.
+//! Prefill is the scarce resource of the engines. So slots bound the requests that wait for their
+//! first token, while a request that is decoding counts only against its customer's concurrency.
+//! Requests wait here and not in the engines' queues, which keeps the order fair and allows late
+//! requests to be refused early.
 
 use guava_types::{CustomerId, Deadline, FastMap, Moment, RequestRate};
 use std::collections::VecDeque;
 
-/// Seconds' worth of rate that can be saved up.
+/// Capacity of the token bucket, in seconds of the rate.
 const BURST_SECONDS: f64 = 2.0;
-/// Part of the limits that is divided equally whatever the use, so that a daemon without traffic
+/// Fraction of the limits that is split equally whatever the use, so that a daemon without traffic
 /// can start at once.
-const EQUAL_PART: f64 = 0.2;
+const EQUAL_FRACTION: f64 = 0.2;
 
-/// When a refused caller should come back, in milliseconds.
+/// How long a refused caller should wait before it tries again, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryAfter(pub u64);
 
-/// Limits of a customer and how it uses them.
+/// A customer's limits and its use of them at the peers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CustomerUse {
     /// Limit over all daemons.
     pub rate: RequestRate,
-    /// Limit over all daemons.
+    /// Limit on running requests, over all daemons.
     pub concurrency: u32,
-    /// Requests that peers have running for it.
+    /// Requests of the customer that run at peers.
     pub peers_running: u32,
-    /// Daemons that take requests, this one included.
+    /// Number of daemons that take requests, this one included.
     pub daemons: u32,
 }
 
-/// What was decided.
+/// Decision on a request that arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmitDecision {
-    /// Go on at once.
+    /// Send it at once.
     Admit,
-    /// Wait in the queue for a slot.
+    /// Queue it for a slot.
     Queue,
     /// Refused: over the customer's rate or concurrency.
     OverLimit(RetryAfter),
-    /// Refused: would not start before its deadline.
+    /// Refused: its first token would come after its deadline, or the queue is full.
     TooLate(RetryAfter),
 }
 
 /// A request in the queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WaitingRequest {
-    /// Its ticket.
+    /// Identifies the request to [`FairAdmission::abandon`].
     pub ticket: u64,
-    /// Whose.
+    /// The customer whose limits it counts against.
     pub customer: CustomerId,
     /// When its first token is due.
     pub deadline: Deadline,
 }
 
-/// Capacity of this daemon's view.
+/// Capacity of this daemon.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmitOptions {
-    /// Requests of this daemon's that may wait for their first token at one time.
+    /// Requests of this daemon that may wait for their first token at the same time.
     pub slots: u32,
-    /// Requests that may wait.
+    /// Longest queue, in requests.
     pub queue: usize,
     /// Expected time to the first token in a slot, in milliseconds.
     pub service_ms: f64,
 }
 
 impl AdmitOptions {
-    /// Time that a request needs from its start to make its first token in time with some margin.
-    /// One that is started with less often misses its deadline, and its prefill is wasted.
+    /// Time from a request's start in which its first token comes, with a margin. A request that is
+    /// started with less time left often misses its deadline, and its prefill is wasted.
     fn safe_service_ms(&self) -> u64 {
         const MARGIN: f64 = 1.5;
         (self.service_ms * MARGIN) as u64
     }
 }
 
-/// What becomes of the next request in line.
+/// What to do with the next queued request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum QueueAction {
-    /// It starts now.
+    /// Start it now.
     Start(WaitingRequest),
-    /// It can't make its deadline any more: refused now rather than when the deadline passes.
+    /// Refuse it now, before its deadline passes: it can no longer meet it.
     Shed(WaitingRequest),
 }
 
@@ -90,12 +92,12 @@
 struct CustomerShare {
     running: u32,
     tokens: f64,
-    filled: Option<Moment>,
+    last_refill: Option<Moment>,
     waiting: VecDeque<WaitingRequest>,
     last_served: u64,
 }
 
-/// Admission of one daemon.
+/// Admission state of one daemon: running and queued requests by customer.
 #[derive(Clone, Debug, Default)]
 pub struct FairAdmission {
     shares: FastMap<CustomerId, CustomerShare>,
@@ -109,29 +111,29 @@
     let equal = limit / daemons;
     let total = f64::from(own) + f64::from(usage.peers_running);
     let by_use = if total < 1.0 { equal } else { limit * f64::from(own.max(1)) / total.max(1.0) };
-    (EQUAL_PART * equal + (1.0 - EQUAL_PART) * by_use.max(equal).min(limit)).max(1.0)
+    (EQUAL_FRACTION * equal + (1.0 - EQUAL_FRACTION) * by_use.max(equal).min(limit)).max(1.0)
 }
 
 impl FairAdmission {
-    /// Requests waiting for their first token, of all customers.
+    /// Requests of all customers that wait for their first token.
     pub fn starting(&self) -> u32 {
         self.starting
     }
 
-    /// Requests waiting, of all customers.
+    /// Queued requests of all customers.
     pub fn waiting(&self) -> usize {
         self.waiting
     }
 
-    /// Requests running, by customer.
+    /// Running requests by customer.
     pub fn running_by_customer(&self) -> impl Iterator<Item = (&CustomerId, u32)> {
         self.shares.iter().map(|(customer, share)| (customer, share.running))
     }
 
     fn refill(share: &mut CustomerShare, rate: f64, now: Moment) {
         let cap = (rate * BURST_SECONDS).max(1.0);
-        let filled = share.filled.replace(now);
-        let earned = filled.map_or(cap, |then| now.millis_since(then) as f64 * rate / 1_000.0);
+        let last_refill = share.last_refill.replace(now);
+        let earned = last_refill.map_or(cap, |then| now.millis_since(then) as f64 * rate / 1_000.0);
         share.tokens = (share.tokens + earned).min(cap);
     }
 
@@ -140,7 +142,7 @@
         ((ahead + 1) as f64 * options.service_ms / slots).ceil() as u64
     }
 
-    /// Decides on a request that arrives now.
+    /// Decides on a request that arrives at `now`, and counts it as started or queued.
     pub fn arrive(
         &mut self,
         request: WaitingRequest,
@@ -167,8 +169,8 @@
             return AdmitDecision::Admit;
         }
         let active = self.shares.values().filter(|share| !share.waiting.is_empty()).count();
-        // Customers take turns, so a request waits behind its own customer's queue once for every
-        // customer in line, not behind everybody's whole queue.
+        // Customers are served round robin: a request waits for its own customer's queue, once for
+        // each customer that has one, and not for the queues of all customers.
         let ahead = (queued * active.max(1)).min(self.waiting);
         let wait = self.wait_ms(ahead, options);
         let first_token = wait + options.safe_service_ms();
@@ -193,25 +195,25 @@
 
     fn enqueue(&mut self, request: WaitingRequest) {
         if let Some(share) = self.shares.get_mut(&request.customer) {
-            let place = share.waiting.partition_point(|other| other.deadline <= request.deadline);
-            share.waiting.insert(place, request);
+            let index = share.waiting.partition_point(|other| other.deadline <= request.deadline);
+            share.waiting.insert(index, request);
             self.waiting += 1;
         }
     }
 
-    /// Notes the first token of an admitted request, or that it will have none: its slot is free.
+    /// Frees the slot of an admitted request, at its first token or when it finishes without one.
     pub fn started(&mut self) {
         self.starting = self.starting.saturating_sub(1);
     }
 
-    /// Notes that an admitted request is over.
+    /// Records that an admitted request finished, which frees its customer's concurrency.
     pub fn finish(&mut self, customer: &CustomerId) {
         if let Some(share) = self.shares.get_mut(customer) {
             share.running = share.running.saturating_sub(1);
         }
     }
 
-    /// Takes a request out of the queue that its caller gave up.
+    /// Removes a request from the queue whose caller stopped waiting.
     pub fn abandon(&mut self, customer: &CustomerId, ticket: u64) {
         let Some(share) = self.shares.get_mut(customer) else { return };
         let before = share.waiting.len();
@@ -219,8 +221,9 @@
         self.waiting -= before - share.waiting.len();
     }
 
-    /// The next request in line if a slot is free: the customer with the fewest running goes
-    /// first, then the one served longest ago; within a customer the earliest deadline.
+    /// Takes the next request from the queue if a slot is free: of the customer with the fewest
+    /// running requests, or among these the one served longest ago, the request with the earliest
+    /// deadline.
     pub fn next(&mut self, options: &AdmitOptions, now: Moment) -> Option<QueueAction> {
         if self.starting >= options.slots {
             return None;
--- a/crates/guava-policy/src/load.rs
+++ b/crates/guava-policy/src/load.rs
@@ -1,43 +1,45 @@
-//! What is known of each upstream's load, late and in part.
+//! Estimated load of each upstream, from reports that are late and incomplete.
 //!
-//! A report is old when it arrives. Work that this daemon, or a peer as gossiped, has sent since
-//! is added to it, and what the upstream must have drained meanwhile is taken off. Without the
-//! first, all daemons choose the one upstream that reported idle, until its next report.
+//! A report is old when it arrives. The work that this daemon, or a peer as gossiped, has sent
+//! since is added to it, and what the upstream must have processed meanwhile is subtracted. Without
+//! the work sent since, all daemons would choose the one upstream that reported itself idle, until
+//! its next report.
 
 use guava_types::{FastMap, Moment, TokenCount, TokenRate, UpstreamId};
 
-/// Weight of a new observation in the slowness estimate, as one over this.
+/// Inverse weight of a new observation in the slowness estimate.
 const SLOWNESS_SMOOTHING: f64 = 4.0;
-/// Slowness fades by half in this time without an observation, so that a slow upstream is tried
-/// again, in milliseconds.
+/// Half-life of slowness without an observation, in milliseconds, so that a slow upstream is used
+/// again.
 const SLOWNESS_HALF_LIFE_MS: f64 = 5_000.0;
 const MAX_SLOWNESS: f64 = 50.0;
-/// Waits shorter than this say nothing about slowness, in milliseconds.
+/// Expected times are taken as at least this, in milliseconds: shorter ones are no measure of
+/// slowness.
 const MIN_EXPECTED_MS: f64 = 20.0;
-/// Reports older than this are no knowledge, in milliseconds.
+/// Age from which reports are ignored, in milliseconds.
 const REPORT_EXPIRY_MS: u64 = 5_000;
 
-/// A report as received.
+/// An upstream's report of its load.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// When the upstream measured it, on this daemon's clock.
     pub measured: Moment,
-    /// Prompt tokens waiting for prefill.
+    /// Prompt tokens that wait for prefill.
     pub queued: TokenCount,
-    /// Requests decoding.
+    /// Requests that are decoding.
     pub running: u32,
-    /// Requests that it can run at one time.
+    /// Requests that it can run at the same time.
     pub slots: u32,
 }
 
-/// Work of this daemon's that an upstream has not answered yet.
+/// Work that this daemon sent to an upstream and that is not finished.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PendingWork {
     /// When it was sent.
     pub sent: Moment,
     /// Tokens to prefill.
     pub tokens: TokenCount,
-    /// How long its first token was expected to take, in milliseconds.
+    /// Expected time to its first token, in milliseconds.
     pub expected_ms: f64,
     /// Whether its first token has come.
     pub started: bool,
@@ -50,45 +52,46 @@
     }
 }
 
-/// One upstream's load.
+/// What is known of one upstream's load.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamLoad {
     report: Option<LoadReport>,
     pending: FastMap<u64, PendingWork>,
     peer_tokens: TokenCount,
-    peer_noted: Moment,
+    peer_updated: Moment,
     slowness: f64,
-    slowness_noted: Moment,
+    slowness_updated: Moment,
 }
 
 impl UpstreamLoad {
-    /// Requests of this daemon's in flight.
+    /// Number of requests that this daemon has in flight there.
     pub fn in_flight(&self) -> usize {
         self.pending.len()
     }
 
-    /// Tokens of this daemon's that wait for prefill.
+    /// Tokens that this daemon sent and that wait for prefill.
     pub fn pending_tokens(&self) -> TokenCount {
         let waiting = self.pending.values().filter(|work| !work.started);
         TokenCount(waiting.map(|work| work.tokens.0).sum())
     }
 
-    /// How many times slower than expected it has been, at least one.
+    /// How many times slower than expected the upstream is, at least one.
     ///
-    /// Work that has not started yet counts by the time that it has waited so far: a server that
-    /// turned slow would otherwise take more and more until its first late answer.
+    /// Work that has not started counts by the time it has waited so far. Otherwise an upstream
+    /// that turned slow would be sent more and more work until its first late answer.
     pub fn slowness(&self, now: Moment) -> f64 {
         let waiting = self.pending.values().filter(|work| !work.started);
         waiting.map(|work| work.slowness(now)).fold(self.past_slowness(now), f64::max)
     }
 
     fn past_slowness(&self, now: Moment) -> f64 {
-        let age = now.millis_since(self.slowness_noted) as f64;
+        let age = now.millis_since(self.slowness_updated) as f64;
         let excess = (self.slowness - 1.0).max(0.0);
         1.0 + excess * 0.5_f64.powf(age / SLOWNESS_HALF_LIFE_MS)
     }
 
-    /// Requests running or waiting there, as far as is known.
+    /// Requests that run or wait there: the last fresh report and what this daemon sent since, or
+    /// at least what this daemon has in flight.
     pub fn running(&self, now: Moment) -> u32 {
         let own = u32::try_from(self.pending.len()).unwrap_or(u32::MAX);
         let Some(report) = self.recent_report(now) else { return own };
@@ -101,7 +104,7 @@
         self.report.as_ref().filter(is_recent)
     }
 
-    /// Milliseconds that a new request waits there before its own prefill starts.
+    /// Expected wait of a new request there until its own prefill starts, in milliseconds.
     pub fn wait_ms(&self, now: Moment, prefill: TokenRate) -> f64 {
         let rate = prefill.0.max(1) as f64 / 1_000.0;
         let own = self.pending_tokens().0 as f64;
@@ -123,15 +126,15 @@
         backlog / rate
     }
 
-    /// Milliseconds of work that peers have waiting there.
+    /// Expected time for the work that peers have waiting there, in milliseconds.
     pub fn peers_wait_ms(&self, now: Moment, prefill: TokenRate) -> f64 {
         let rate = prefill.0.max(1) as f64 / 1_000.0;
-        let age = now.millis_since(self.peer_noted) as f64;
+        let age = now.millis_since(self.peer_updated) as f64;
         (self.peer_tokens.0 as f64 / rate - age).max(0.0)
     }
 }
 
-/// The loads of all upstreams that this daemon routes to.
+/// Loads of all upstreams that this daemon routes to.
 #[derive(Clone, Debug, Default)]
 pub struct LoadTable {
     loads: FastMap<UpstreamId, UpstreamLoad>,
@@ -139,44 +142,45 @@
 }
 
 impl LoadTable {
-    /// The load of an upstream; nothing known is no load.
+    /// The load of an upstream; no load if nothing is known of it.
     pub fn load(&self, upstream: &UpstreamId) -> UpstreamLoad {
         self.loads.get(upstream).cloned().unwrap_or_default()
     }
 
-    /// The load of an upstream of which something is known.
+    /// The load of an upstream; `None` if nothing is known of it.
     pub fn find(&self, upstream: &UpstreamId) -> Option<&UpstreamLoad> {
         self.loads.get(upstream)
     }
 
-    /// Notes one lost or broken answer: twice as slow as before, and some.
+    /// Records one lost or broken answer: somewhat more than doubles the slowness.
     ///
-    /// One loss in a hundred is no reason to leave an upstream; several in a row double its cost
-    /// each time, until the others are cheaper.
+    /// One lost answer in a hundred is no reason to avoid an upstream. Several in a row double its
+    /// cost each time, until the other upstreams cost less.
     pub fn note_failed_answer(&mut self, upstream: &UpstreamId, now: Moment) {
         let load = self.loads.entry(upstream.clone()).or_default();
         load.slowness = (load.past_slowness(now) * 2.0 + 1.0).min(MAX_SLOWNESS);
-        load.slowness_noted = now;
+        load.slowness_updated = now;
     }
 
-    /// All loads.
+    /// All upstreams of which something is known, with their loads.
     pub fn iter(&self) -> impl Iterator<Item = (&UpstreamId, &UpstreamLoad)> {
         self.loads.iter()
     }
 
-    /// Takes a report in.
+    /// Records a report, which replaces the previous one.
     pub fn note_report(&mut self, upstream: &UpstreamId, report: LoadReport) {
         self.loads.entry(upstream.clone()).or_default().report = Some(report);
     }
 
-    /// Takes in what peers say they have waiting there.
+    /// Records how many tokens peers have waiting there at `now`; replaces the previous number.
     pub fn note_peers(&mut self, upstream: &UpstreamId, tokens: TokenCount, now: Moment) {
         let load = self.loads.entry(upstream.clone()).or_default();
         load.peer_tokens = tokens;
-        load.peer_noted = now;
+        load.peer_updated = now;
     }
 
-    /// Notes work sent; the ticket names it later.
+    /// Records work that was sent. Returns its ticket, by which [`Self::started`] and
+    /// [`Self::finished`] identify it.
     pub fn sent(
         &mut self,
         upstream: &UpstreamId,
@@ -191,7 +195,7 @@
         ticket
     }
 
-    /// Notes the first token of a piece of work.
+    /// Records the first token of a piece of work, by which the slowness is updated.
     pub fn started(&mut self, upstream: &UpstreamId, ticket: u64, now: Moment) {
         let Some(load) = self.loads.get_mut(upstream) else { return };
         let Some(work) = load.pending.get_mut(&ticket) else { return };
@@ -199,24 +203,24 @@
         let ratio = work.slowness(now);
         let current = load.past_slowness(now);
         load.slowness = current + (ratio - current) / SLOWNESS_SMOOTHING;
-        load.slowness_noted = now;
+        load.slowness_updated = now;
     }
 
-    /// Notes a failure: as slow as can be.
+    /// Records a failure: sets the slowness to its maximum.
     pub fn failed(&mut self, upstream: &UpstreamId, now: Moment) {
         let load = self.loads.entry(upstream.clone()).or_default();
         load.slowness = MAX_SLOWNESS;
-        load.slowness_noted = now;
+        load.slowness_updated = now;
     }
 
-    /// Notes that a piece of work is over.
+    /// Removes a piece of work that is over, with or without a first token.
     pub fn finished(&mut self, upstream: &UpstreamId, ticket: u64) {
         if let Some(load) = self.loads.get_mut(upstream) {
             load.pending.remove(&ticket);
         }
     }
 
-    /// Forgets upstreams that are no longer registered.
+    /// Removes upstreams that are no longer registered.
     pub fn retain(&mut self, is_known: impl Fn(&UpstreamId) -> bool) {
         self.loads.retain(|upstream, _| is_known(upstream));
     }
