--- a/crates/guava-policy/src/link.rs
+++ b/crates/guava-policy/src/link.rs
@@ -1,36 +1,37 @@
-//! What links to the memory and disk tiers really carry, as seen by finished imports.
+//! Rates of the links to the memory and disk tiers, as observed on finished imports.
 //!
-//! A link that has become slow still has its configured rate in every estimate. Believed, imports
-//! pile up behind each other on it, and each waits longer than recomputing would have taken.
+//! A link that has become slow still has its configured rate. If estimates used that rate, imports
+//! would queue behind each other on the link, and each would wait longer than a recomputation
+//! takes.
 
 use guava_types::{ByteCount, FastMap, LinkRate, Moment, UpstreamId};
 
-/// Weight of a new observation, as one over this.
+/// Inverse weight of a new observation.
 const SMOOTHING: f64 = 3.0;
-/// An observation counts half after this time, so that a link that has recovered is tried again.
+/// Half-life of an observation, in milliseconds, so that a link that has recovered is used again.
 const HALF_LIFE_MS: f64 = 5_000.0;
 
 #[derive(Clone, Copy, Debug)]
-struct SeenRate {
-    /// Configured rate over the rate seen; at least one.
+struct ObservedRate {
+    /// Configured rate divided by the observed rate; at least one.
     slowness: f64,
-    noted: Moment,
+    updated: Moment,
 }
 
 /// Observed slowness of each store's link.
 #[derive(Clone, Debug, Default)]
 pub struct LinkTable {
-    seen: FastMap<UpstreamId, SeenRate>,
+    observed: FastMap<UpstreamId, ObservedRate>,
 }
 
 impl LinkTable {
     fn slowness(&self, store: &UpstreamId, now: Moment) -> f64 {
-        let Some(seen) = self.seen.get(store) else { return 1.0 };
-        let age = now.millis_since(seen.noted) as f64;
-        1.0 + (seen.slowness - 1.0) * 0.5_f64.powf(age / HALF_LIFE_MS)
+        let Some(observed) = self.observed.get(store) else { return 1.0 };
+        let age = now.millis_since(observed.updated) as f64;
+        1.0 + (observed.slowness - 1.0) * 0.5_f64.powf(age / HALF_LIFE_MS)
     }
 
-    /// Takes in that so many bytes took so long, waiting included.
+    /// Records a finished import of `bytes` that took `millis`, waiting included.
     pub fn note(
         &mut self,
         store: &UpstreamId,
@@ -40,13 +41,13 @@
         now: Moment,
     ) {
         let expected = bytes.0 as f64 * 1_000.0 / configured.0.max(1) as f64;
-        let found = (millis as f64 / expected.max(1.0)).max(1.0);
-        let known = self.slowness(store, now);
-        let slowness = known + (found - known) / SMOOTHING;
-        self.seen.insert(store.clone(), SeenRate { slowness, noted: now });
+        let measured = (millis as f64 / expected.max(1.0)).max(1.0);
+        let estimated = self.slowness(store, now);
+        let slowness = estimated + (measured - estimated) / SMOOTHING;
+        self.observed.insert(store.clone(), ObservedRate { slowness, updated: now });
     }
 
-    /// The rate to count on.
+    /// The rate to use in estimates: the configured rate divided by the observed slowness.
     pub fn rate(&self, store: &UpstreamId, configured: LinkRate, now: Moment) -> LinkRate {
         LinkRate((configured.0 as f64 / self.slowness(store, now)) as u64)
     }
--- a/crates/guava-policy/tests/link.rs
+++ b/crates/guava-policy/tests/link.rs
@@ -1,4 +1,4 @@
-//! What is learnt of a link, and forgotten again.
+//! Observed rates of links, and how observations lose weight with age.
 
 use guava_policy::LinkTable;
 use guava_types::{ByteCount, LinkRate, Moment, UpstreamId};
@@ -6,21 +6,21 @@
 const CONFIGURED: LinkRate = LinkRate(1_000_000);
 
 #[test]
-fn slow_link_is_learnt_and_tried_again() {
+fn slow_link_is_observed_and_used_again_later() {
     // Symptom: imports queue for seconds on a link that runs at a tenth of its rate.
     // Sequence: a link becomes slow; its configured rate stays.
-    // Cause: estimates use the configured rate.
+    // Cause: estimates used the configured rate.
     let mut links = LinkTable::default();
     let store: UpstreamId = "store-0".parse().unwrap();
     for round in 0..6 {
-        // 100 kB in a second: a tenth of the rate.
+        // 100 kB in a second: a tenth of the configured rate.
         links.note(&store, ByteCount(100_000), 1_000, CONFIGURED, Moment(round));
     }
 
-    let learnt = links.rate(&store, CONFIGURED, Moment(10));
+    let observed = links.rate(&store, CONFIGURED, Moment(10));
     let later = links.rate(&store, CONFIGURED, Moment(60_000));
 
-    assert!(learnt.0 < 130_000, "{learnt}");
+    assert!(observed.0 < 130_000, "{observed}");
     assert!(later.0 > 900_000, "{later}");
 }
 
--- a/crates/guava-policy/tests/link_watch.rs
+++ b/crates/guava-policy/tests/link_watch.rs
@@ -1,16 +1,16 @@
-//! How slow a link is, by what was fetched over it.
+//! Estimates of a link's slowness from the fetches over it.
 
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
 use guava_policy::{AwaitedFetch, LinkWatch};
 use guava_types::Moment;
 
-/// A fetch of 50 ms, sent at a moment.
+/// A fetch of 50 ms at the configured rate, sent at a moment.
 fn fetch(sent: u64, slowness: f64) -> AwaitedFetch {
     AwaitedFetch { sent: Moment(sent), other_ms: 40.0, expected_ms: 50.0 * slowness, slowness }
 }
 
-/// A link over which fetches took so long, to the first token, one sent every 100 ms.
+/// A link whose fetches, one sent every 100 ms, had their first tokens after these times.
 fn watch(taken_ms: &[u64]) -> LinkWatch {
     let mut watch = LinkWatch::default();
     for (ticket, taken_ms) in (0..).zip(taken_ms) {
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn link_is_slow_when_all_fetches_of_late_were() {
+fn link_is_slow_when_all_recent_fetches_were() {
     let slow = watch(&[90, 90, 440, 440, 440]);
 
     let slowness = slow.slowness(Moment(2_000)).unwrap();
@@ -31,20 +31,21 @@
 }
 
 #[test]
-fn one_late_fetch_says_nothing_of_the_link() {
+fn single_late_fetch_does_not_make_a_link_slow() {
     // Symptom: a store with a healthy link is not fetched from for seconds.
-    // Sequence: an engine stands still with a fetch under way, between fetches that are in time.
-    // Cause: the time was laid on the link alone.
+    // Sequence: an engine stalls with a fetch in flight, between fetches that are in time.
+    // Cause: the delay was attributed to the link alone.
     let healthy = watch(&[90, 2_000, 90]);
 
     assert!(healthy.slowness(Moment(3_200)).unwrap() < 1.01);
 }
 
 #[test]
-fn overdue_fetches_tell_before_they_are_over() {
-    // Symptom: prompts fetch from a slow link until the first late one is over, two seconds later.
-    // Sequence: a link turns slow; fetches are awaited.
-    // Cause: only what was over counted.
+fn overdue_fetches_count_before_they_finish() {
+    // Symptom: prompts fetch over a slow link until the first late fetch finishes, two seconds
+    // later.
+    // Sequence: a link turns slow while fetches are awaited.
+    // Cause: only finished fetches counted.
     let mut watch = LinkWatch::default();
     watch.begin(1, fetch(1_000, 1.0));
     watch.begin(2, fetch(1_050, 1.0));
@@ -57,7 +58,7 @@
 }
 
 #[test]
-fn fetch_that_was_given_up_still_tells_that_it_was_late() {
+fn abandoned_fetch_counts_if_it_was_overdue() {
     let mut watch = LinkWatch::default();
     for ticket in 0..2 {
         watch.begin(ticket, fetch(1_000, 1.0));
@@ -68,7 +69,7 @@
 }
 
 #[test]
-fn link_that_recovers_is_seen_by_the_first_fetch_in_time() {
+fn recovery_of_a_link_shows_at_the_first_fetch_in_time() {
     let mut watch = watch(&[440, 440, 440]);
     watch.begin(9, fetch(2_000, 8.0));
 
@@ -78,7 +79,7 @@
 }
 
 #[test]
-fn link_is_tried_again_though_nobody_fetches_over_it() {
+fn slow_link_without_fetches_is_used_again_after_the_expiry() {
     let slow = watch(&[440, 440, 440]);
 
     assert!(slow.slowness(Moment(2_500)).unwrap() > 7.0);
