--- a/crates/guava-policy/src/memory_budget.rs
+++ b/crates/guava-policy/src/memory_budget.rs
@@ -1,41 +1,47 @@
-//! How much of the engines' memory is planned with, as told by what became of what was sent.
+//! The fraction of the engines' memory that a daemon plans with, adapted to observed first tokens.
 //!
-//! Load answered: a part of the engines is gone, or callers come in a burst. Each daemon plans by what
-//! it knows of the others' prompts, some tenths of a second late; engines get more than their memory
-//! holds, preempt runs, drop what was fetched for those that wait, and read it again. That makes the
-//! next prompts late, and the overload outlives its cause by ten seconds. What a daemon sees of it is
-//! that first tokens come much later than expected. So its share of the memory shrinks with each
-//! of these and grows with each that is in time, as a sender's window does on a link of unknown rate.
+//! When part of the engines is lost, or callers send a burst, each daemon plans by what it knows of
+//! the others' prompts, some tenths of a second late. Engines are then sent more than their memory
+//! holds: they preempt runs, drop the prompt parts that were fetched for waiting prompts, and fetch
+//! them again. That makes the next prompts late, and the overload outlasts its cause by ten
+//! seconds. A daemon observes that first tokens come much later than expected. So its fraction of
+//! the memory shrinks with each late first token and grows with each that is in time, as a
+//! congestion window does on a link of unknown rate.
 
 use guava_types::{Moment, TokenCount};
 
-/// Part of the memory at best; the rest covers estimates that were too low.
-const MOST_PART: f64 = 0.95;
-/// Part of the memory at least. Some three long prompts fit into it, enough to keep an engine reading
-/// while others decode.
-const LEAST_PART: f64 = 0.35;
-/// What a late first token leaves of the part.
-const LATE_TIMES: f64 = 0.85;
-/// What one in time adds to it.
-const IN_TIME_STEP: f64 = 0.015;
-/// A first token is late after so many times what was expected, and so many milliseconds more: slow
-/// links and short prompts that come in between delay one by less.
+/// Largest fraction of the memory planned with. The remainder covers estimates that were too low.
+const MAX_FRACTION: f64 = 0.95;
+/// Smallest fraction of the memory planned with. About three long prompts fit into it, enough to
+/// keep an engine busy with prefill while others decode.
+const MIN_FRACTION: f64 = 0.35;
+/// Factor applied to the fraction for each late first token.
+const LATE_DECREASE_FACTOR: f64 = 0.85;
+/// Increase of the fraction for each first token that is in time.
+const IN_TIME_INCREASE: f64 = 0.015;
+/// A first token is late after this many times its expected time and `LATE_SLACK_MS` more. Slow
+/// links and short prompts that are served in between delay it by less.
 const LATE_FACTOR: f64 = 3.0;
 const LATE_SLACK_MS: f64 = 600.0;
 
-/// Part of an engine's memory that others may have taken, however much a prompt needs itself and
-/// however little is planned with. Without it the longest prompts would fit only into an engine with
-/// nothing at all to do, and none of them would be served while the part is small.
-const ALWAYS_TAKEN_PART: f64 = 0.15;
+/// Fraction of an engine's memory that other prompts may always use, whatever a prompt needs itself
+/// and however small the fraction planned with. Without it the longest prompts would fit only into
+/// an idle engine, and none of them would be served while the fraction is small.
+const TOLERATED_USE_FRACTION: f64 = 0.15;
 
-/// Whether an engine of which so much memory is taken has room for a prompt, where a part of its memory
-/// is planned with.
-pub fn has_capacity(memory: TokenCount, part: f64, taken: TokenCount, needed: TokenCount) -> bool {
+/// Whether an engine of which `taken` is in use has capacity for a prompt that needs `needed`,
+/// where `fraction` of its `memory` is planned with.
+pub fn has_capacity(
+    memory: TokenCount,
+    fraction: f64,
+    taken: TokenCount,
+    needed: TokenCount,
+) -> bool {
     let memory = memory.0 as f64;
     let needed = needed.0 as f64;
-    let at_best = memory * MOST_PART - needed;
-    let planned = memory * part - needed;
-    taken.0 as f64 <= planned.max(at_best.min(memory * ALWAYS_TAKEN_PART))
+    let max_allowed = memory * MAX_FRACTION - needed;
+    let planned = memory * fraction - needed;
+    taken.0 as f64 <= planned.max(max_allowed.min(memory * TOLERATED_USE_FRACTION))
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -44,57 +50,59 @@
     late_at: Moment,
 }
 
-/// The part of the engines' memory that one daemon plans with.
+/// Adaptive fraction of the engines' memory that one daemon plans with.
 #[derive(Clone, Debug)]
 pub struct MemoryBudget {
-    part: f64,
+    fraction: f64,
     awaited: Vec<AwaitedStart>,
 }
 
 impl Default for MemoryBudget {
     fn default() -> Self {
-        Self { part: MOST_PART, awaited: Vec::new() }
+        Self { fraction: MAX_FRACTION, awaited: Vec::new() }
     }
 }
 
 impl MemoryBudget {
-    /// Notes a long prompt that was sent; the ticket names it until it is over.
+    /// Records a long prompt that was sent; `started` or `dropped` with the same ticket ends the
+    /// wait for its first token.
     pub fn begin(&mut self, ticket: u64, expected_ms: f64, now: Moment) {
         let late_ms = expected_ms * LATE_FACTOR + LATE_SLACK_MS;
         self.awaited.push(AwaitedStart { ticket, late_at: Moment(now.0 + late_ms as u64) });
     }
 
-    /// Notes the first token.
+    /// Records the first token. Increases the fraction if it is in time.
     pub fn started(&mut self, ticket: u64, now: Moment) {
         self.note_late(now);
-        if self.forget(ticket) {
-            self.part = (self.part + IN_TIME_STEP).min(MOST_PART);
+        if self.stop_awaiting(ticket) {
+            self.fraction = (self.fraction + IN_TIME_INCREASE).min(MAX_FRACTION);
         }
     }
 
-    /// Notes that nobody awaits the first token any more.
+    /// Records that the first token is no longer awaited. Decreases the fraction only if it is late
+    /// by now.
     pub fn dropped(&mut self, ticket: u64, now: Moment) {
         self.note_late(now);
-        self.forget(ticket);
+        self.stop_awaiting(ticket);
     }
 
-    /// The part of the memory to plan with.
+    /// The fraction of the memory to plan with at `now`, between 0.35 and 0.95.
     pub fn fraction(&mut self, now: Moment) -> f64 {
         self.note_late(now);
-        self.part
+        self.fraction
     }
 
-    /// Counts what is late by now, each once.
+    /// Decreases the fraction for each first token that is late by now, each once.
     fn note_late(&mut self, now: Moment) {
         let before = self.awaited.len();
         self.awaited.retain(|awaited| awaited.late_at > now);
         for _ in self.awaited.len()..before {
-            self.part = (self.part * LATE_TIMES).max(LEAST_PART);
+            self.fraction = (self.fraction * LATE_DECREASE_FACTOR).max(MIN_FRACTION);
         }
     }
 
-    /// Whether it was still awaited.
-    fn forget(&mut self, ticket: u64) -> bool {
+    /// Stops awaiting a first token. Returns whether it was still awaited.
+    fn stop_awaiting(&mut self, ticket: u64) -> bool {
         let before = self.awaited.len();
         self.awaited.retain(|awaited| awaited.ticket != ticket);
         self.awaited.len() < before
--- a/crates/guava-policy/tests/backlog.rs
+++ b/crates/guava-policy/tests/backlog.rs
@@ -1,9 +1,9 @@
-//! Waits at engines, by what they were sent.
+//! Waits at engines, by the prompts they were sent.
 
 use guava_policy::EngineBacklog;
 use guava_types::Moment;
 
-/// Time to read a heavy prompt, in milliseconds.
+/// Prefill time of a heavy prompt, in milliseconds.
 const HEAVY_MS: f64 = 600.0;
 const NORMAL: u8 = 3;
 const URGENT: u8 = 0;
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn idle_engine_keeps_nobody_waiting() {
+fn idle_engine_has_no_wait() {
     let backlog = EngineBacklog::default();
 
     assert_eq!(backlog.wait_ms(NORMAL, at(0)), 0.0);
@@ -21,9 +21,10 @@
 }
 
 #[test]
-fn prompt_that_is_nearly_read_counts_for_what_is_left() {
-    // Symptom: heavy prompts wait for half a second though half of the engines are nearly done.
-    // Sequence: two engines got a prompt each, one just now, one half a second ago; the first is
+fn prompt_in_prefill_counts_by_its_time_left() {
+    // Symptom: heavy prompts wait for half a second though half of the engines have nearly
+    // finished.
+    // Sequence: two engines get a prompt each, one just now, one half a second ago; the first is
     // chosen as often as the second.
     // Cause: a prompt counted in full until its first token.
     let mut just_begun = EngineBacklog::default();
@@ -37,7 +38,7 @@
 }
 
 #[test]
-fn urgent_prompt_passes_those_that_wait_and_one_that_is_read() {
+fn urgent_prompt_passes_waiting_prompts_and_the_one_in_prefill() {
     let mut backlog = EngineBacklog::default();
     backlog.push_own(1, NORMAL, HEAVY_MS, at(0));
     backlog.push_own(2, NORMAL, HEAVY_MS, at(0));
@@ -60,9 +61,9 @@
 }
 
 #[test]
-fn own_prompt_without_a_first_token_is_not_taken_for_read() {
-    // Symptom: an engine that turned slow gets more and more prompts.
-    // Sequence: its first prompt should be read after 0.6 s and is not.
+fn own_prompt_without_a_first_token_does_not_count_as_finished() {
+    // Symptom: an engine that turned slow is sent more and more prompts.
+    // Sequence: its first prompt should be in prefill for 0.6 s and takes longer.
     // Cause: by the expected time alone the engine looked idle again.
     let mut backlog = EngineBacklog::default();
     backlog.push_own(1, NORMAL, HEAVY_MS, at(0));
@@ -73,7 +74,7 @@
 }
 
 #[test]
-fn first_token_shows_that_what_was_before_has_been_read() {
+fn first_token_finishes_the_prompts_of_peers_before_it() {
     let mut backlog = EngineBacklog::default();
     backlog.push_peer(NORMAL, HEAVY_MS, at(0));
     backlog.push_own(1, NORMAL, HEAVY_MS, at(0));
@@ -85,7 +86,7 @@
 }
 
 #[test]
-fn prompt_that_was_refused_waits_no_more() {
+fn refused_prompt_is_removed_from_the_backlog() {
     let mut backlog = EngineBacklog::default();
     backlog.push_own(1, NORMAL, HEAVY_MS, at(0));
     backlog.push_own(2, NORMAL, HEAVY_MS, at(0));
