--- a/crates/guava-policy/src/crash_ledger.rs
+++ b/crates/guava-policy/src/crash_ledger.rs
@@ -473,8 +473,8 @@
     }
 }
 
-/// The request that was in flight at the most of these crashes, if it can be told from the others
-/// there; or all requests that were at as many, once these are too many.
+/// The request that was in flight at the most of these crashes, if it can be distinguished from
+/// the others there; or all requests that were at as many, once these are too many.
 fn select_crash_inducing(
     unexplained: &[&FastSet<RequestDigest>],
     is_quarantine_over: impl Fn(&RequestDigest) -> bool,
--- a/crates/guava-policy/src/export.rs
+++ b/crates/guava-policy/src/export.rs
@@ -1,40 +1,40 @@
-//! Export: which prompts are worth their bytes on a link.
+//! Export: which prefixes are worth the link capacity that their transfer takes.
 
 use guava_state::WeightProfile;
 use guava_types::{ByteCount, LinkRate, Moment, TokenCount, TokenRate};
 
-/// Prompts shorter than this are recomputed, in tokens.
+/// Prefixes shorter than this are recomputed, in tokens.
 const MIN_TOKENS: u64 = 256;
-/// Longest queue of a link into which an export may be put, in milliseconds.
+/// Longest queue of a link to which an export is added, in milliseconds.
 const MAX_LINK_WAIT_MS: f64 = 2_000.0;
 
-/// What the decision is made on.
+/// What is known of a prefix, a link and the engines.
 #[derive(Clone, Copy, Debug)]
 pub struct ExportInput {
-    /// Tokens of the prefix.
+    /// Length of the prefix.
     pub tokens: TokenCount,
-    /// Its size over the link.
+    /// Size of the prefix as transferred.
     pub bytes: ByteCount,
     /// Throughput of the link.
     pub rate: LinkRate,
-    /// Bytes already waiting for the link.
+    /// Bytes that wait for the link.
     pub queued: ByteCount,
     /// Prefill throughput of the engines.
     pub prefill: TokenRate,
-    /// Times the prefix was seen, this one included.
+    /// How often the prefix was used, this use included.
     pub use_count: u32,
-    /// When it was seen before, if ever.
+    /// The previous use; `None` at the first.
     pub last_use: Option<Moment>,
     /// The current moment.
     pub now: Moment,
-    /// Weights of the measures.
+    /// Weights of first-token time, recomputation and link use.
     pub profile: WeightProfile,
 }
 
-/// Whether the expected saving of a return is worth the bytes.
+/// Whether the expected saving of a reuse is worth the bytes transferred.
 ///
-/// A prefix seen once is expected back half as surely as one that has come back; a gap of more than
-/// a second makes it likely that the engine will have evicted it by the next return.
+/// A prefix used once is half as likely to be reused as one that has been reused. A gap of more than
+/// a second makes it likely that the engine will have evicted it by the next use.
 pub fn should_export(input: &ExportInput) -> bool {
     if input.tokens.0 < MIN_TOKENS {
         return false;
@@ -43,9 +43,9 @@
     if link_wait_ms > MAX_LINK_WAIT_MS {
         return false;
     }
-    let returned = input.use_count > 1;
+    let was_reused = input.use_count > 1;
     let gap_ms = input.last_use.map_or(0, |before| input.now.millis_since(before));
-    let reuse = match (returned, gap_ms > 1_000) {
+    let reuse_likelihood = match (was_reused, gap_ms > 1_000) {
         (true, true) => 1.0,
         (true, false) => 0.7,
         (false, _) => 0.5,
@@ -57,5 +57,5 @@
         + f64::from(input.profile.recompute) * input.tokens.0 as f64;
     let spent = f64::from(input.profile.link) * input.bytes.0 as f64 / 1_024.0;
     // One write, then on average one read.
-    saved * reuse > 2.0 * spent * 0.5
+    saved * reuse_likelihood > 2.0 * spent * 0.5
 }
--- a/crates/guava-policy/src/link_watch.rs
+++ b/crates/guava-policy/src/link_watch.rs
@@ -31,7 +31,7 @@
 pub struct AwaitedFetch {
     /// When the prompt was sent.
     pub sent: Moment,
-    /// Part of the expected time to the first token that doesn't depend on the fetch, in
+    /// Portion of the expected time to the first token that doesn't depend on the fetch, in
     /// milliseconds.
     pub other_ms: f64,
     /// Expected time of the fetch, in milliseconds, waits for the link included.
--- a/crates/guava-policy/src/memory_budget.rs
+++ b/crates/guava-policy/src/memory_budget.rs
@@ -1,6 +1,6 @@
 //! The fraction of the engines' memory that a daemon plans with, adapted to observed first tokens.
 //!
-//! When part of the engines is lost, or callers send a burst, each daemon plans by what it knows of
+//! When some of the engines are lost, or callers send a burst, each daemon plans by what it knows of
 //! the others' prompts, some tenths of a second late. Engines are then sent more than their memory
 //! holds: they preempt runs, drop the prompt parts that were fetched for waiting prompts, and fetch
 //! them again. That makes the next prompts late, and the overload outlasts its cause by ten
--- a/crates/guava-policy/tests/cold_start.rs
+++ b/crates/guava-policy/tests/cold_start.rs
@@ -12,7 +12,7 @@
     a_low_limit = { 3, 84 },
 )]
 fn shares_add_up_to_the_limit(limit: u32, daemons: usize) {
-    let share = |place| cold_share(limit, daemons, place).requests;
+    let share = |rank| cold_share(limit, daemons, rank).requests;
     let sum: u64 = (0..daemons).map(share).sum();
 
     assert_eq!(sum, u64::from(limit));
--- a/crates/guava-policy/tests/crash_ledger.rs
+++ b/crates/guava-policy/tests/crash_ledger.rs
@@ -117,7 +117,7 @@
     // Symptom: a request that causes no crash is refused for ten minutes.
     // Sequence: it is in flight at three crashes of two crash-inducing requests before either of
     // them is at three; these are then repeated.
-    // Cause: a decision on part of the evidence was kept when the remaining evidence arrived.
+    // Cause: a decision on incomplete evidence was kept when the remaining evidence arrived.
     let other = RequestDigest(3);
     let mut ledger =
         ledger(&[&[CRASHING, CONCURRENT], &[other, CONCURRENT], &[CRASHING, CONCURRENT]]);
