--- a/crates/guava-daemon/src/announcement_handler.rs
+++ b/crates/guava-daemon/src/announcement_handler.rs
@@ -144,7 +144,7 @@
         let rate = limit.thousandths.map(LimitRate::from_thousandths);
         let as_of = now.minus_millis(limit.age_ms);
         let notice = LimitNotice { upstream, rate, as_of };
-        let news = locked(&context.announcements).table.note_notice(&notice, now);
+        let news = locked(&context.announcements).table.apply_limit_notice(&notice, now);
         news.iter().for_each(|news| log_announcement(&notice.upstream, news, "peer", now));
     }
 }
--- a/crates/guava-daemon/src/engine_choice.rs
+++ b/crates/guava-daemon/src/engine_choice.rs
@@ -9,8 +9,8 @@
 use guava_log::log_event;
 use guava_outside::{EngineClient, ImportOrder};
 use guava_policy::{
-    BLOCK_TOKENS, CandidateCost, ImportOffer, NEAR_BEST, PrefixChain, PrefixHash, RouteCandidate,
-    RouteDecision, RouteInput, decide_route, prefix_chain,
+    BLOCK_TOKENS, CandidateCost, ImportOffer, NEAR_BEST_FRACTION, PrefixChain, PrefixHash,
+    RouteCandidate, RouteDecision, RouteInput, decide_route, prefix_chain,
 };
 use guava_state::{ModelSpec, UpstreamKind, UpstreamSpec};
 use guava_types::{CustomerId, ModelName, Moment, TokenCount, UpstreamId, VersionName};
@@ -135,7 +135,7 @@
                 resident: resident(id),
                 missing: None,
                 slowness: load.slowness(now),
-                is_own: peers.owner(context.me, upstream_seed(id), now).is_none(),
+                is_preferred: peers.owner(context.me, upstream_seed(id), now).is_none(),
             }
         })
         .collect()
@@ -217,7 +217,7 @@
         candidates: &candidates,
         import: offer.as_ref().map(|(_, offer)| offer),
         profile: context.state.view().profile,
-        near_best: NEAR_BEST,
+        near_best_fraction: NEAR_BEST_FRACTION,
         draw: rand::random(),
     };
     let decision = decide_route(&input)?;
--- a/crates/guava-daemon/src/run_feed.rs
+++ b/crates/guava-daemon/src/run_feed.rs
@@ -2,7 +2,7 @@
 //! connections as it takes.
 
 use guava_outside::{EngineClient, EngineEvent, EngineStream, HttpError, Usage};
-use guava_policy::{ReplyChunk, ReplyOrder, ReplyStep};
+use guava_policy::{ReplyAssembler, ReplyChunk, ReplyStep};
 use guava_types::{Deadline, VersionName};
 use snafu::Snafu;
 use std::time::Duration;
@@ -48,7 +48,7 @@
     version: VersionName,
     run: Option<Box<str>>,
     stream: EngineStream,
-    order: ReplyOrder,
+    order: ReplyAssembler,
     usage: Option<Usage>,
     idle_resumes: u32,
     resumes: u32,
@@ -63,7 +63,7 @@
         stream: EngineStream,
     ) -> Self {
         let run = stream.run.clone();
-        let feed = Self::reading(client, version, stream, ReplyOrder::default());
+        let feed = Self::reading(client, version, stream, ReplyAssembler::default());
         Self { request: Some(request), run, ..feed }
     }
 
@@ -75,7 +75,7 @@
         from: u64,
     ) -> Result<Self, HttpError> {
         let stream = client.resume(&run, from, Deadline::in_millis(RESUME_MS)).await?;
-        let feed = Self::reading(client, version, stream, ReplyOrder::starting_at(from));
+        let feed = Self::reading(client, version, stream, ReplyAssembler::starting_at(from));
         Ok(Self { run: Some(run), ..feed })
     }
 
@@ -83,7 +83,7 @@
         client: EngineClient,
         version: VersionName,
         stream: EngineStream,
-        order: ReplyOrder,
+        order: ReplyAssembler,
     ) -> Self {
         Self {
             client,
--- a/crates/guava-policy/src/announcement_gate.rs
+++ b/crates/guava-policy/src/announcement_gate.rs
@@ -67,11 +67,11 @@
     if let Some(Deadline(until)) = announcements.backoff_until(now) {
         return Some(ClosedUpstream { reason: CloseReason::BackOff, until: Some(until) });
     }
-    full_share(sends, upstream, share(announcements.limit?), CloseReason::Limit, now)
+    share_gate(sends, upstream, share(announcements.limit?), CloseReason::Limit, now)
 }
 
 /// What closes an upstream whose share is used up.
-pub fn full_share(
+pub fn share_gate(
     sends: &SendLedger,
     upstream: &UpstreamId,
     share: SendShare,
--- a/crates/guava-policy/src/announcement_table.rs
+++ b/crates/guava-policy/src/announcement_table.rs
@@ -157,7 +157,11 @@
     }
 
     /// Takes in what another daemon knows of a limit; what is news.
-    pub fn note_notice(&mut self, notice: &LimitNotice, now: Moment) -> Option<AnnouncementChange> {
+    pub fn apply_limit_notice(
+        &mut self,
+        notice: &LimitNotice,
+        now: Moment,
+    ) -> Option<AnnouncementChange> {
         self.note_limit(&notice.upstream, notice.rate, notice.as_of, now)
     }
 
--- a/crates/guava-policy/src/lib.rs
+++ b/crates/guava-policy/src/lib.rs
@@ -29,7 +29,7 @@
     AdmitDecision, AdmitOptions, CustomerUse, FairAdmission, QueueAction, ReturnAfter,
     WaitingRequest,
 };
-pub use announcement_gate::{CloseReason, ClosedUpstream, announcement_gate, full_share};
+pub use announcement_gate::{CloseReason, ClosedUpstream, announcement_gate, share_gate};
 pub use announcement_table::{AnnouncementChange, AnnouncementTable, LimitNotice};
 pub use backlog::EngineBacklog;
 pub use cold_start::{ColdRule, cold_share};
@@ -46,10 +46,11 @@
 pub use memory_queue::MemoryQueue;
 pub use placement::{PlacementInput, PlacementMove, plan_afresh, plan_moves};
 pub use prefix::{BLOCK_TOKENS, PrefixChain, PrefixHash, prefix_chain, tokens_in};
-pub use reply::{ReplyChunk, ReplyOrder, ReplyStep};
+pub use reply::{ReplyAssembler, ReplyChunk, ReplyStep};
 pub use retry::RetryBudget;
 pub use route::{
-    CandidateCost, ImportOffer, NEAR_BEST, RouteCandidate, RouteDecision, RouteInput, decide_route,
+    CandidateCost, ImportOffer, NEAR_BEST_FRACTION, RouteCandidate, RouteDecision, RouteInput,
+    decide_route,
 };
 pub use send_ledger::SendLedger;
 pub use send_share::{SendShare, SendWindow, limit_share};
--- a/crates/guava-policy/src/reply.rs
+++ b/crates/guava-policy/src/reply.rs
@@ -28,13 +28,13 @@
 
 /// The state of one answer.
 #[derive(Clone, Debug, Default)]
-pub struct ReplyOrder {
+pub struct ReplyAssembler {
     next: u64,
     held: BTreeMap<u64, Box<str>>,
     end: Option<u64>,
 }
 
-impl ReplyOrder {
+impl ReplyAssembler {
     /// An answer of which the caller already has everything before a position.
     pub fn starting_at(next: u64) -> Self {
         Self { next, ..Self::default() }
--- a/crates/guava-policy/src/route.rs
+++ b/crates/guava-policy/src/route.rs
@@ -6,7 +6,7 @@
 
 /// Candidates this close to the best, as a share of its cost, are as good as the best where loads are
 /// known by reports and gossip, some tenths of a second late.
-pub const NEAR_BEST: f64 = 0.10;
+pub const NEAR_BEST_FRACTION: f64 = 0.10;
 /// Cost that is always as good as equal, in milliseconds of first token.
 const NEAR_BEST_MS: f64 = 2.0;
 /// Fixed time of an import beyond its bytes, in milliseconds.
@@ -50,7 +50,7 @@
     /// What daemons know of each other's choices is late. Drawing among all equals, two of them
     /// often send to the same idle upstream within that time, and one request waits for the other;
     /// so the upstreams are divided among the daemons for that purpose.
-    pub is_own: bool,
+    pub is_preferred: bool,
 }
 
 /// What a decision is made on.
@@ -65,7 +65,7 @@
     /// Weights of the measures.
     pub profile: WeightProfile,
     /// Candidates this close to the best, as a share of its cost, are as good as the best.
-    pub near_best: f64,
+    pub near_best_fraction: f64,
     /// A random number that spreads equal choices.
     pub draw: u64,
 }
@@ -201,10 +201,10 @@
     costs.sort_by(|left, right| left.cost.total_cmp(&right.cost));
     let best = costs.first()?.cost;
     let slack = NEAR_BEST_MS * f64::from(input.profile.first_token.max(1));
-    let limit = best * (1.0 + input.near_best) + slack;
+    let limit = best * (1.0 + input.near_best_fraction) + slack;
     let near: Vec<&CandidateCost> = costs.iter().take_while(|cost| cost.cost <= limit).collect();
     let is_own = |cost: &&&CandidateCost| {
-        input.candidates.iter().any(|other| other.upstream == cost.upstream && other.is_own)
+        input.candidates.iter().any(|other| other.upstream == cost.upstream && other.is_preferred)
     };
     let own: Vec<&CandidateCost> = near.iter().filter(is_own).copied().collect();
     let drawn_from = if own.is_empty() { &near } else { &own };
--- a/crates/guava-policy/tests/reply.rs
+++ b/crates/guava-policy/tests/reply.rs
@@ -2,7 +2,7 @@
 
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
-use guava_policy::{ReplyChunk, ReplyOrder, ReplyStep};
+use guava_policy::{ReplyAssembler, ReplyChunk, ReplyStep};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
@@ -22,7 +22,7 @@
 
     TestRunner::new_with_rng(config, rng)
         .run(&input, |(length, arrivals, end_at)| {
-            let mut order = ReplyOrder::default();
+            let mut order = ReplyAssembler::default();
             let mut delivered = Vec::new();
             let chunk = |position: u64| ReplyChunk { position, text: position.to_string().into() };
             let end_at = end_at.index(arrivals.len() + 1);
@@ -48,7 +48,7 @@
 
 #[test]
 fn too_many_chunks_behind_a_hole_ask_for_a_resume() {
-    let mut order = ReplyOrder::default();
+    let mut order = ReplyAssembler::default();
     let late = |position| ReplyChunk { position, text: "x".into() };
 
     let asked = (1..1_000).map(|position| order.push(late(position)));
--- a/crates/guava-policy/tests/route.rs
+++ b/crates/guava-policy/tests/route.rs
@@ -3,7 +3,8 @@
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
 use guava_policy::{
-    ImportOffer, LoadReport, LoadTable, NEAR_BEST, RouteCandidate, RouteInput, decide_route,
+    ImportOffer, LoadReport, LoadTable, NEAR_BEST_FRACTION, RouteCandidate, RouteInput,
+    decide_route,
 };
 use guava_state::WeightProfile;
 use guava_types::{ByteCount, LinkRate, Moment, TokenCount, TokenRate, UpstreamId};
@@ -24,7 +25,7 @@
         resident: TokenCount(resident),
         missing: None,
         slowness: 1.0,
-        is_own: false,
+        is_preferred: false,
     }
 }
 
@@ -47,7 +48,7 @@
         candidates,
         import,
         profile,
-        near_best: NEAR_BEST,
+        near_best_fraction: NEAR_BEST_FRACTION,
         draw: 0,
     }
 }
@@ -129,7 +130,7 @@
 fn own_upstreams_go_first_among_equals_only() {
     let mut candidates: Vec<RouteCandidate> =
         (0..4).map(|number| candidate(&format!("e{number}"), 0.0, 0)).collect();
-    candidates[2].is_own = true;
+    candidates[2].is_preferred = true;
 
     let idle = decide_route(&input(&candidates, None, FAST)).unwrap();
     candidates[2].wait_ms = 500.0;
--- a/crates/guava-policy/tests/word_table.rs
+++ b/crates/guava-policy/tests/word_table.rs
@@ -96,11 +96,11 @@
     table.note_answer(&id("u"), &limited(2.0), Moment(90), Moment(100));
     let notice = |rate, as_of| LimitNotice { upstream: id("u"), rate, as_of: Moment(as_of) };
 
-    table.note_notice(&notice(None, 95), Moment(200));
+    table.apply_limit_notice(&notice(None, 95), Moment(200));
     let after_old = table.limit(&id("u"));
-    table.note_notice(&notice(None, 150), Moment(200));
+    table.apply_limit_notice(&notice(None, 150), Moment(200));
     let after_new = table.limit(&id("u"));
-    table.note_notice(&notice(Some(rate(2.0)), 120), Moment(210));
+    table.apply_limit_notice(&notice(Some(rate(2.0)), 120), Moment(210));
 
     assert_eq!((after_old, after_new), (Some(rate(2.0)), None));
     assert_eq!(table.limit(&id("u")), None, "told by a daemon that is behind");
--- a/crates/guava-serve/src/request/engine_choice.rs
+++ b/crates/guava-serve/src/request/engine_choice.rs
@@ -37,7 +37,7 @@
 
 /// Candidates this close to the best, as a share of its cost, are as good as the best. Long prompts
 /// are told to peers at once, so small differences are real.
-const NEAR_BEST: f64 = 0.02;
+const NEAR_BEST_FRACTION: f64 = 0.02;
 
 /// A prompt that takes this part of an engine's memory, as one over it, is long.
 const LONG_PART: u64 = 16;
@@ -130,7 +130,7 @@
         resident,
         missing,
         slowness: load.slowness(input.now),
-        is_own: entry.data_centre == *input.data_centre && is_own(input, &entry.id),
+        is_preferred: entry.data_centre == *input.data_centre && is_own(input, &entry.id),
     }
 }
 
@@ -177,7 +177,7 @@
             // Reckoned for each engine.
             import: None,
             profile: PROFILE,
-            near_best: NEAR_BEST,
+            near_best_fraction: NEAR_BEST_FRACTION,
             draw: input.draw,
         };
         let Some(decision) = decide_route(&route) else { continue };
--- a/crates/guava-serve/src/request/send_gate.rs
+++ b/crates/guava-serve/src/request/send_gate.rs
@@ -13,7 +13,7 @@
 use crate::upstreams::upstream_table::UpstreamEntry;
 use guava_policy::{
     AnnouncementTable, CloseReason, ClosedUpstream, ColdRule, LimitNotice, SendLedger, SendShare,
-    announcement_gate, cold_share, full_share, limit_share,
+    announcement_gate, cold_share, limit_share, share_gate,
 };
 use guava_types::{Deadline, LimitRate, MemberName, Moment, UpstreamId};
 
@@ -71,7 +71,7 @@
     // Who does not know the others can't tell its share.
     let share = place.map(|place| cold_share(rule.per_second, input.members.count(), place));
     let share = share.unwrap_or_default();
-    let closed = full_share(input.sends, &entry.id, share, CloseReason::Cold, now);
+    let closed = share_gate(input.sends, &entry.id, share, CloseReason::Cold, now);
     closed.map_or(GateState::Cold, GateState::Closed)
 }
 
--- a/crates/guava-serve/src/upstreams/announcement_watch.rs
+++ b/crates/guava-serve/src/upstreams/announcement_watch.rs
@@ -41,7 +41,7 @@
 
 /// Takes in what another daemon knows of an upstream's limit.
 pub fn apply_limit(context: &ServeContext, notice: &LimitNotice, source: &MemberName, now: Moment) {
-    let news = context.announcements.borrow_mut().note_notice(notice, now);
+    let news = context.announcements.borrow_mut().apply_limit_notice(notice, now);
     news.iter().for_each(|news| {
         log_announcement(context, &notice.upstream, news, source, notice.as_of, now)
     });
--- a/crates/guava-serve/tests/send_gate.rs
+++ b/crates/guava-serve/tests/send_gate.rs
@@ -333,7 +333,7 @@
     let mut fleet: Vec<PlayedDaemon> =
         (0..daemons).map(|number| PlayedDaemon::new(number, 0..daemons, started)).collect();
     for daemon in &mut fleet {
-        daemon.announcements.note_notice(&notice, START);
+        daemon.announcements.apply_limit_notice(&notice, START);
     }
     fleet
 }
@@ -377,7 +377,7 @@
     let notice = LimitNotice { upstream: entry.id.clone(), rate: Some(limit), as_of: START };
     for millis in (500..8_000).step_by(10) {
         let now = later(millis);
-        again.iter_mut().for_each(|one| drop(one.announcements.note_notice(&notice, now)));
+        again.iter_mut().for_each(|one| drop(one.announcements.apply_limit_notice(&notice, now)));
         sent.extend(again.iter_mut().filter_map(|one| one.try_send(&entry, now).then_some(now)));
     }
 
--- a/crates/guava-standins/src/slopes.rs
+++ b/crates/guava-standins/src/slopes.rs
@@ -5,7 +5,9 @@
 use crate::process_cost::process_cost;
 use crate::serve::AnyError;
 use guava_daemon::{CacheIndex, SealedEntry};
-use guava_policy::{NEAR_BEST, PrefixHash, RouteCandidate, RouteInput, decide_route, prefix_chain};
+use guava_policy::{
+    NEAR_BEST_FRACTION, PrefixHash, RouteCandidate, RouteInput, decide_route, prefix_chain,
+};
 use guava_state::{
     ChangeRequest, ConfigObject, CustomerSpec, FleetState, IntentEntry, LogRecord, ObjectKey,
     RecordBody, WeightProfile, state_text,
@@ -200,7 +202,7 @@
                 resident: TokenCount(0),
                 missing: None,
                 slowness: 1.0,
-                is_own: false,
+                is_preferred: false,
             })
         })
         .collect::<Result<_, AnyError>>()?;
@@ -209,7 +211,7 @@
         candidates: &engines,
         import: None,
         profile: WeightProfile::default(),
-        near_best: NEAR_BEST,
+        near_best_fraction: NEAR_BEST_FRACTION,
         draw: 1,
     };
     let started = Instant::now();
