--- a/crates/guava-policy/src/announcement_gate.rs
+++ b/crates/guava-policy/src/announcement_gate.rs
@@ -1,4 +1,4 @@
-//! Whether an upstream may get work now, by what it has said of itself.
+//! Whether an upstream may get requests now, given its announcements and this daemon's send share.
 
 use crate::announcement_table::AnnouncementTable;
 use crate::send_ledger::SendLedger;
@@ -6,25 +6,25 @@
 use guava_types::{Deadline, LimitRate, Moment, UpstreamId};
 use std::fmt;
 
-/// Why an upstream may get nothing now.
+/// Why an upstream may get no request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// It is not listed as serving any more.
+    /// It is no longer listed as serving.
     Left,
-    /// It has said that it leaves.
+    /// It has announced that it is leaving.
     Leaving,
-    /// It asked for rest.
+    /// It asked this daemon for a back-off, which has not ended.
     BackOff,
-    /// This daemon's share of its limit is used up.
+    /// This daemon has used up its share of the upstream's rate limit.
     Limit,
-    /// It is cold, and this daemon's share is used up.
+    /// It is cold, and this daemon has used up its share of the cold-start limit.
     Cold,
     /// Its data centre is drained.
     Drained,
 }
 
 impl CloseReason {
-    /// In a word, for logs.
+    /// The label for logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Left => "left",
@@ -43,16 +43,18 @@
     }
 }
 
-/// An upstream that may get nothing now.
+/// An upstream that may get no request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClosedUpstream {
-    /// Why.
+    /// Why it is closed.
     pub reason: CloseReason,
-    /// When it may get work again, if that is known.
+    /// When it may get requests again, if that is known.
     pub until: Option<Moment>,
 }
 
-/// What closes an upstream, if anything does; the share is this daemon's of a limit.
+/// Whether its announcements close an upstream; `None` if it may get a request.
+///
+/// `share` computes this daemon's share of a limit and is called only if the upstream has one.
 pub fn announcement_gate(
     announcements: &AnnouncementTable,
     sends: &SendLedger,
@@ -70,7 +72,9 @@
     share_gate(sends, upstream, share(announcements.limit?), CloseReason::Limit, now)
 }
 
-/// What closes an upstream whose share is used up.
+/// Whether an upstream is closed because this daemon's share of its limit is used up.
+///
+/// `reason` is the reason that a closed upstream gets.
 pub fn share_gate(
     sends: &SendLedger,
     upstream: &UpstreamId,
@@ -78,6 +82,6 @@
     reason: CloseReason,
     now: Moment,
 ) -> Option<ClosedUpstream> {
-    let until = sends.opens(upstream, share, now);
+    let until = sends.next_send_at(upstream, share, now);
     (until != Some(now)).then_some(ClosedUpstream { reason, until })
 }
--- a/crates/guava-policy/src/announcement_table.rs
+++ b/crates/guava-policy/src/announcement_table.rs
@@ -1,138 +1,144 @@
-//! What upstreams have said of themselves.
+//! What upstreams have announced of themselves.
 //!
-//! **Limits.** A limit holds for as long as the upstream's answers name it. Answers overtake each
-//! other, so each word has a moment: an answer that names a limit counts as of its arrival, one that
-//! names none as of its request's sending, the earliest moment at which it can have been true. A limit
-//! ends with an answer to a request that was sent after the last answer that named it; silence ends
-//! nothing. Words of other daemons count as of the same moments, on this daemon's clock.
+//! **Limits.** A limit holds for as long as the upstream's answers name it. Answers can overtake
+//! each other, so each announcement has a moment: an answer that names a limit counts as of its
+//! arrival; one that names none counts as of the send of its request, the earliest moment at which
+//! it can have been true. A limit ends with an answer to a request that was sent after the last
+//! answer that named it; it does not expire without answers. Limits reported by other daemons count
+//! as of the same moments, on this daemon's clock.
 //!
-//! **Leaving** is final for an id: neither another answer nor the platform's list, which may be late by
-//! many seconds, takes it back.
+//! **Leaving** is final for an id. Neither another answer nor the platform's list, which may be
+//! many seconds late, revokes it.
 //!
-//! **Rest** is asked of one daemon, and other daemons are not told. A later word may make it longer, not
-//! shorter: answers overtake each other, and whoever sent the longer one still counts on it.
+//! **Back-off** applies to one daemon and is not sent to other daemons. A later answer can extend
+//! it but not shorten it: answers can overtake each other, and the upstream that sent the longer
+//! back-off still relies on it.
 //!
-//! An id is one start of an upstream, so that what an earlier start has said is not held against the
+//! An id names one start of an upstream, so announcements of an earlier start do not apply to the
 //! next.
 
 use crate::upstream_announcements::{AnnouncedLimit, UpstreamAnnouncements};
 use guava_types::{Deadline, FastMap, LimitRate, Moment, UpstreamId};
 
-/// How long the words of an upstream that is not listed are kept, in milliseconds: entries that
-/// lapsed while the list was away come back under the same id.
-const KEPT_MS: u64 = 600_000;
-/// How long the end of a limit is told, and that an upstream leaves, in milliseconds: many summaries,
-/// so that a daemon that was suspended or cut off meanwhile hears it.
-const TOLD_MS: u64 = 20_000;
-/// Upstreams whose words are kept at most, against messages that name ever new ones.
-const MOST_KEPT: usize = 4_096;
+/// Retention of the announcements of an upstream that is not listed, in milliseconds: entries that
+/// lapsed while the list was unavailable come back under the same id.
+const UNLISTED_RETENTION_MS: u64 = 600_000;
+/// How long summaries report that a limit ended or that an upstream is leaving, in milliseconds. It
+/// covers many summaries, so that a daemon that was suspended or cut off meanwhile receives one.
+const GOSSIP_RETENTION_MS: u64 = 20_000;
+/// Upper bound on the upstreams in the table, against messages that name ever more of them.
+const MAX_UPSTREAMS: usize = 4_096;
 
-/// Part of the limit before, in percent, from below which a new one is told at once.
+/// Percentage of the previous limit below which a new limit is sent to other daemons at once.
 const URGENT_PERCENT: u64 = 75;
 
-/// An upstream's limit as daemons tell each other.
+/// An upstream's limit, as daemons send it to each other.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LimitNotice {
-    /// Which start of which upstream.
+    /// Id of the upstream, which names one start of it.
     pub upstream: UpstreamId,
-    /// Requests a second from all daemons together; nothing if it names no limit any more.
+    /// Limit on the requests of all daemons together; `None` if the upstream no longer names one.
     pub rate: Option<LimitRate>,
-    /// When that was known.
+    /// Moment as of which this is known, on this daemon's clock.
     pub as_of: Moment,
 }
 
-/// What a word changes.
+/// What an announcement changes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AnnouncementChange {
-    /// The upstream has another limit than before.
+    /// The upstream's limit differs from the known one.
     Limited {
-        /// Which.
+        /// The limit now in force.
         rate: LimitRate,
-        /// The one before, if it had one.
+        /// The previous limit, if there was one.
         before: Option<LimitRate>,
     },
-    /// It has no limit any more.
+    /// The upstream no longer has a limit.
     Unlimited,
-    /// It leaves.
+    /// The upstream is leaving.
     Leaving,
-    /// It gets nothing from this daemon until then.
+    /// This daemon sends it no requests until then.
     BackingOff(Deadline),
-    /// It says something that can't be read.
-    Unread(Box<str>),
+    /// An announcement can't be parsed; holds its text, cut to a bounded length.
+    Unreadable(Box<str>),
 }
 
 impl AnnouncementChange {
-    /// What is said, in a word.
+    /// Kind of announcement, as a label for logs.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Limited { .. } => "limit",
             Self::Unlimited => "no-limit",
             Self::Leaving => "leaving",
             Self::BackingOff(_) => "rest",
-            Self::Unread(_) => "unreadable",
+            Self::Unreadable(_) => "unreadable",
         }
     }
 
-    /// How much, as text for logs; empty where there is nothing to add.
+    /// Its value as text for logs; empty for a change that has none.
     pub fn value(&self, now: Moment) -> String {
         match self {
             Self::Limited { rate, .. } => rate.to_string(),
             Self::BackingOff(until) => format!("{} ms", until.millis_left(now)),
-            Self::Unread(value) => value.to_string(),
+            Self::Unreadable(value) => value.to_string(),
             Self::Unlimited | Self::Leaving => String::new(),
         }
     }
 
-    /// Whether other daemons should know at once, rather than with the next summary: some upstreams
-    /// name another limit in each answer.
+    /// Whether the change is sent to other daemons at once rather than with the next summary.
+    ///
+    /// A limit that is raised or only a little lower is not urgent: some upstreams name another
+    /// limit in each answer.
     pub fn is_urgent(&self) -> bool {
         match self {
             Self::Limited { rate, before: Some(before) } => {
                 rate.thousandths() < before.thousandths() * URGENT_PERCENT / 100
             }
             Self::Limited { before: None, .. } | Self::Leaving => true,
-            Self::Unlimited | Self::BackingOff(_) | Self::Unread(_) => false,
+            Self::Unlimited | Self::BackingOff(_) | Self::Unreadable(_) => false,
         }
     }
 }
 
-/// What one upstream has said.
+/// What one upstream has announced.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct KnownAnnouncements {
     /// Its limit, if it has one.
     pub(crate) limit: Option<LimitRate>,
-    /// As of when that is known.
+    /// Moment as of which the limit, or its absence, is known.
     limit_as_of: Moment,
-    /// When the last limit was found to be over, if there is none now.
-    limit_over: Option<Moment>,
-    /// Since when it is known to leave, if it does.
+    /// When the last limit was found to have ended, if there is none now.
+    limit_ended: Option<Moment>,
+    /// When it was first known to be leaving, if it is.
     leaving_since: Option<Moment>,
-    /// Until when it wants nothing from this daemon.
+    /// End of its back-off for this daemon; may have passed.
     backoff_until: Option<Deadline>,
-    unread: Option<Box<str>>,
-    noted: Moment,
+    unreadable: Option<Box<str>>,
+    /// When an announcement of it was last recorded.
+    updated: Moment,
 }
 
 impl KnownAnnouncements {
-    /// Whether it has said that it leaves.
+    /// Whether it has announced that it is leaving.
     pub(crate) fn is_leaving(&self) -> bool {
         self.leaving_since.is_some()
     }
 
-    /// Until when it wants nothing from this daemon, if that is not over.
+    /// End of its back-off for this daemon, if that has not passed.
     pub(crate) fn backoff_until(&self, now: Moment) -> Option<Deadline> {
         self.backoff_until.filter(|until| !until.passed(now))
     }
 }
 
-/// The words of all upstreams that said any.
+/// Announcements of all upstreams that have made any.
 #[derive(Clone, Debug, Default)]
 pub struct AnnouncementTable {
     upstreams: FastMap<UpstreamId, KnownAnnouncements>,
 }
 
 impl AnnouncementTable {
-    /// Takes in an answer to a request that was sent at some moment; what is news.
+    /// Records the announcements in an answer to a request sent at `sent`; returns what they
+    /// change.
     pub fn note_answer(
         &mut self,
         upstream: &UpstreamId,
@@ -140,23 +146,23 @@
         sent: Moment,
         now: Moment,
     ) -> Vec<AnnouncementChange> {
-        let mut news = Vec::new();
-        news.extend(match announcements.limit {
+        let mut changes = Vec::new();
+        changes.extend(match announcements.limit {
             AnnouncedLimit::None => self.note_limit(upstream, None, sent, now),
             AnnouncedLimit::Named(rate) => self.note_limit(upstream, Some(rate), now, now),
-            AnnouncedLimit::Unread => None,
+            AnnouncedLimit::Unreadable => None,
         });
         if announcements.is_leaving {
-            news.extend(self.note_leaving(upstream, now));
+            changes.extend(self.note_leaving(upstream, now));
         }
-        news.extend(
+        changes.extend(
             announcements.backoff_until.and_then(|until| self.note_backoff(upstream, until, now)),
         );
-        news.extend(self.note_unread(upstream, announcements, now));
-        news
+        changes.extend(self.note_unreadable(upstream, announcements, now));
+        changes
     }
 
-    /// Takes in what another daemon knows of a limit; what is news.
+    /// Applies a limit reported by another daemon; returns the change, if it makes one.
     pub fn apply_limit_notice(
         &mut self,
         notice: &LimitNotice,
@@ -165,7 +171,8 @@
         self.note_limit(&notice.upstream, notice.rate, notice.as_of, now)
     }
 
-    /// Takes in that an upstream leaves, by its own word or another daemon's; whether that is news.
+    /// Records that an upstream is leaving, as announced by itself or reported by another daemon;
+    /// returns the change if that was not known.
     pub fn note_leaving(
         &mut self,
         upstream: &UpstreamId,
@@ -189,7 +196,7 @@
         (until > before).then_some(AnnouncementChange::BackingOff(until))
     }
 
-    /// Notes that an upstream gets a request; whether that ends a rest.
+    /// Records that an upstream gets a request; returns whether that ends a back-off.
     pub fn note_send(&mut self, upstream: &UpstreamId) -> bool {
         self.upstreams
             .get_mut(upstream)
@@ -207,51 +214,51 @@
             return None;
         }
         let known = self.entry(upstream, now)?;
-        let is_old = as_of < known.limit_as_of || (rate.is_none() && as_of == known.limit_as_of);
-        if is_old {
+        let is_stale = as_of < known.limit_as_of || (rate.is_none() && as_of == known.limit_as_of);
+        if is_stale {
             return None;
         }
         known.limit_as_of = as_of;
         let before = std::mem::replace(&mut known.limit, rate);
         match rate {
             Some(rate) => {
-                known.limit_over = None;
+                known.limit_ended = None;
                 (before != Some(rate)).then_some(AnnouncementChange::Limited { rate, before })
             }
             None if before.is_some() => {
-                known.limit_over = Some(now);
+                known.limit_ended = Some(now);
                 Some(AnnouncementChange::Unlimited)
             }
             None => None,
         }
     }
 
-    fn note_unread(
+    fn note_unreadable(
         &mut self,
         upstream: &UpstreamId,
         announcements: &UpstreamAnnouncements,
         now: Moment,
     ) -> Option<AnnouncementChange> {
-        let unread = announcements.unread.as_ref()?;
+        let unreadable = announcements.unreadable.as_ref()?;
         let known = self.entry(upstream, now)?;
-        let is_same = known.unread.replace(unread.clone()).as_ref() == Some(unread);
-        (!is_same).then(|| AnnouncementChange::Unread(unread.clone()))
+        let is_same = known.unreadable.replace(unreadable.clone()).as_ref() == Some(unreadable);
+        (!is_same).then(|| AnnouncementChange::Unreadable(unreadable.clone()))
     }
 
-    /// An upstream's words; nothing if there is no room for another's.
+    /// The entry of an upstream, created if missing; `None` if the table is full.
     fn entry(&mut self, upstream: &UpstreamId, now: Moment) -> Option<&mut KnownAnnouncements> {
         if !self.upstreams.contains_key(upstream) {
-            if self.upstreams.len() >= MOST_KEPT {
+            if self.upstreams.len() >= MAX_UPSTREAMS {
                 return None;
             }
             self.upstreams.insert(upstream.clone(), KnownAnnouncements::default());
         }
         let known = self.upstreams.get_mut(upstream)?;
-        known.noted = now;
+        known.updated = now;
         Some(known)
     }
 
-    /// What an upstream has said, if it said anything.
+    /// What an upstream has announced, if anything.
     pub(crate) fn announcements(&self, upstream: &UpstreamId) -> Option<&KnownAnnouncements> {
         self.upstreams.get(upstream)
     }
@@ -261,10 +268,11 @@
         self.announcements(upstream)?.limit
     }
 
-    /// An upstream's limit for other daemons, or that it has none any more.
+    /// An upstream's limit, or that it has none any more, to be sent to other daemons; `None` if it
+    /// never had one.
     pub fn limit_notice(&self, upstream: &UpstreamId) -> Option<LimitNotice> {
         let announcements = self.upstreams.get(upstream)?;
-        let is_known = announcements.limit.is_some() || announcements.limit_over.is_some();
+        let is_known = announcements.limit.is_some() || announcements.limit_ended.is_some();
         is_known.then(|| LimitNotice {
             upstream: upstream.clone(),
             rate: announcements.limit,
@@ -272,39 +280,44 @@
         })
     }
 
-    /// All limits and ends of limits for other daemons; of ends those that are recent.
+    /// All limits in force, and the limits that ended recently, to be sent to other daemons.
     pub fn limit_notices(&self, now: Moment) -> impl Iterator<Item = LimitNotice> {
-        let is_recent = move |over: Moment| !Deadline::after(over, TOLD_MS).passed(now);
-        let is_told = move |announcements: &KnownAnnouncements| {
-            announcements.limit.is_some() || announcements.limit_over.is_some_and(is_recent)
+        let is_recent =
+            move |ended: Moment| !Deadline::after(ended, GOSSIP_RETENTION_MS).passed(now);
+        let is_reported = move |announcements: &KnownAnnouncements| {
+            announcements.limit.is_some() || announcements.limit_ended.is_some_and(is_recent)
         };
-        let told = self.upstreams.iter().filter(move |(_, announcements)| is_told(announcements));
-        told.filter_map(|(id, _)| self.limit_notice(id))
+        let reported =
+            self.upstreams.iter().filter(move |(_, announcements)| is_reported(announcements));
+        reported.filter_map(|(id, _)| self.limit_notice(id))
     }
 
-    /// Whether an upstream has said that it leaves.
+    /// Whether an upstream is known to be leaving.
     pub fn is_leaving(&self, upstream: &UpstreamId) -> bool {
         self.announcements(upstream).is_some_and(KnownAnnouncements::is_leaving)
     }
 
-    /// Until when an upstream wants nothing from this daemon, if that is not over.
+    /// End of an upstream's back-off for this daemon, if that has not passed.
     pub fn backoff_until(&self, upstream: &UpstreamId, now: Moment) -> Option<Deadline> {
         self.announcements(upstream)?.backoff_until(now)
     }
 
-    /// Upstreams that are lately known to leave, for other daemons.
+    /// Upstreams that were recently found to be leaving, to be sent to other daemons.
     pub fn recently_leaving(&self, now: Moment) -> impl Iterator<Item = &UpstreamId> {
-        let is_told = move |since: Moment| !Deadline::after(since, TOLD_MS).passed(now);
+        let is_reported =
+            move |since: Moment| !Deadline::after(since, GOSSIP_RETENTION_MS).passed(now);
         let leaving = self.upstreams.iter();
         let leaving = leaving
-            .filter(move |(_, announcements)| announcements.leaving_since.is_some_and(is_told));
+            .filter(move |(_, announcements)| announcements.leaving_since.is_some_and(is_reported));
         leaving.map(|(id, _)| id)
     }
 
-    /// Forgets upstreams that are not listed and have said nothing for long.
+    /// Removes upstreams that are not listed and whose retention has passed since their last
+    /// announcement.
     pub fn sweep(&mut self, now: Moment, is_listed: impl Fn(&UpstreamId) -> bool) {
         self.upstreams.retain(|id, announcements| {
-            is_listed(id) || !Deadline::after(announcements.noted, KEPT_MS).passed(now)
+            is_listed(id)
+                || !Deadline::after(announcements.updated, UNLISTED_RETENTION_MS).passed(now)
         });
     }
 }
--- a/crates/guava-policy/src/send_ledger.rs
+++ b/crates/guava-policy/src/send_ledger.rs
@@ -1,12 +1,12 @@
-//! What this daemon has lately sent to each upstream.
+//! This daemon's recent sends to each upstream.
 
 use crate::send_share::{SendShare, SendWindow};
 use guava_types::{Deadline, FastMap, Moment, UpstreamId};
 
-/// Pause between two looks for upstreams to which nothing was sent for long, in milliseconds.
-const SWEEP_MS: u64 = 10_000;
+/// Interval between two sweeps for upstreams whose sends no share counts any more, in milliseconds.
+const SWEEP_INTERVAL_MS: u64 = 10_000;
 
-/// This daemon's sends.
+/// This daemon's sends to all upstreams, for its shares of their limits.
 #[derive(Debug)]
 pub struct SendLedger {
     windows: FastMap<UpstreamId, SendWindow>,
@@ -15,31 +15,38 @@
 }
 
 impl SendLedger {
-    /// Nothing sent yet, by a daemon that started at some moment.
+    /// An empty ledger of a daemon that started at this moment.
     pub fn new(started: Moment) -> Self {
         Self { windows: FastMap::default(), started, swept: started }
     }
 
-    /// Whether one more may be sent to an upstream under this daemon's share.
+    /// Whether one more request may be sent to an upstream now under this daemon's share.
     pub fn has_capacity(&self, upstream: &UpstreamId, share: SendShare, now: Moment) -> bool {
-        self.opens(upstream, share, now) == Some(now)
+        self.next_send_at(upstream, share, now) == Some(now)
     }
 
-    /// When one more may be sent under a share: now, or later; never without a share.
+    /// The moment from which one more request may be sent under a share, `now` at the earliest;
+    /// `None` if the share allows no requests.
     ///
-    /// The process before this one on its VM may have used its share, so the first span is waited for.
-    pub fn opens(&self, upstream: &UpstreamId, share: SendShare, now: Moment) -> Option<Moment> {
-        let Deadline(settled) = Deadline::after(self.started, share.span_ms);
-        let opens = match self.windows.get(upstream) {
-            Some(window) => window.opens(share, now),
+    /// The previous process on this VM may have used up the share, so nothing is sent within the
+    /// first window after the start.
+    pub fn next_send_at(
+        &self,
+        upstream: &UpstreamId,
+        share: SendShare,
+        now: Moment,
+    ) -> Option<Moment> {
+        let Deadline(first_window_end) = Deadline::after(self.started, share.window_ms);
+        let next_send = match self.windows.get(upstream) {
+            Some(window) => window.next_send_at(share, now),
             None => (share.requests > 0).then_some(now),
         };
-        opens.map(|opens| opens.max(settled))
+        next_send.map(|next_send| next_send.max(first_window_end))
     }
 
-    /// Notes a send.
+    /// Records a send.
     pub fn note(&mut self, upstream: &UpstreamId, now: Moment) {
-        if Deadline::after(self.swept, SWEEP_MS).passed(now) {
+        if Deadline::after(self.swept, SWEEP_INTERVAL_MS).passed(now) {
             self.swept = now;
             self.windows.retain(|_, window| !window.is_over(now));
         }
@@ -49,7 +56,8 @@
         }
     }
 
-    /// Sends to an upstream within the last milliseconds, a few thousand at most.
+    /// Number of sends to an upstream within the last `millis` milliseconds, under the limits of
+    /// [`SendWindow::count`].
     pub fn count(&self, upstream: &UpstreamId, millis: u64, now: Moment) -> usize {
         self.windows.get(upstream).map_or(0, |window| window.count(millis, now))
     }
--- a/crates/guava-policy/src/upstream_announcements.rs
+++ b/crates/guava-policy/src/upstream_announcements.rs
@@ -1,48 +1,48 @@
-//! What an upstream says of itself in the head of an answer.
+//! Announcements of an upstream in the headers of an answer.
 //!
-//! The values are read here, the same for every protocol; which header holds which is the
-//! protocol's.
+//! The values are parsed here, in the same way for every protocol. Each protocol's client decides
+//! which header holds which value.
 
 use guava_types::{Deadline, LimitRate, Moment};
 use std::time::SystemTime;
 
-/// Length at which an unreadable value is cut, in characters.
-const SHOWN: usize = 40;
-/// Longest rest that is granted, in milliseconds: a mistaken value must not take an upstream away for
-/// good.
-const LONGEST_REST_MS: f64 = 600_000.0;
-/// Part of a rest by which its end is put off at most, so that those who were refused together don't
-/// return together.
-const SPREAD_PART: u64 = 8;
+/// Longest part of an unreadable value that is kept for logs, in characters.
+const MAX_UNREADABLE_CHARS: usize = 40;
+/// Longest back-off that is accepted, in milliseconds: a mistaken value must not close an upstream
+/// for good.
+const MAX_BACKOFF_MS: f64 = 600_000.0;
+/// A back-off is extended by at most its length divided by this number, so that daemons refused at
+/// the same time do not all send again at the same time.
+const BACKOFF_JITTER_DIVISOR: u64 = 8;
 
-/// A limit as an answer names it.
+/// The rate limit in an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AnnouncedLimit {
-    /// It names none.
+    /// The answer names no limit.
     #[default]
     None,
-    /// The rate that it names.
+    /// The answer names this limit.
     Named(LimitRate),
-    /// It names one that can't be read, so what was known holds.
-    Unread,
+    /// The answer names a limit that can't be parsed, so the last known limit stays in force.
+    Unreadable,
 }
 
-/// What an answer says of its upstream.
+/// The announcements in one answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct UpstreamAnnouncements {
     /// The limit on the requests of all daemons together.
     pub limit: AnnouncedLimit,
-    /// Whether it leaves.
+    /// Whether the upstream is leaving.
     pub is_leaving: bool,
-    /// Until when it wants nothing from this daemon, if it refused and asks for rest.
+    /// End of the back-off that it asks of this daemon, if it refused with a `Retry-After`.
     pub backoff_until: Option<Deadline>,
-    /// A value that can't be read, if there is one.
-    pub unread: Option<Box<str>>,
+    /// The last value that can't be parsed, cut for logs, if there is one.
+    pub unreadable: Option<Box<str>>,
 }
 
 impl UpstreamAnnouncements {
-    /// Reads the values of the header that names a limit, in requests a second. Of several the lowest
-    /// holds.
+    /// Parses the values of the header that names a limit, in requests per second. Of several
+    /// values the lowest applies.
     pub fn read_limit<'a>(&mut self, values: impl Iterator<Item = &'a [u8]>) {
         for value in values {
             let text = String::from_utf8_lossy(value);
@@ -52,33 +52,34 @@
                     AnnouncedLimit::Named(rate.min(known))
                 }
                 (Some(rate), _) => AnnouncedLimit::Named(rate),
-                (None, AnnouncedLimit::None) => AnnouncedLimit::Unread,
+                (None, AnnouncedLimit::None) => AnnouncedLimit::Unreadable,
                 (None, known) => known,
             };
             if rate.is_none() {
-                self.note_unread(&text);
+                self.note_unreadable(&text);
             }
         }
     }
 
-    /// Reads the values of the header that says that an upstream leaves.
+    /// Parses the values of the header that announces that an upstream is leaving: `1`, `true`, `0`
+    /// or `false`.
     pub fn read_leaving<'a>(&mut self, values: impl Iterator<Item = &'a [u8]>) {
         for value in values {
             match value.trim_ascii() {
                 b"1" | b"true" => self.is_leaving = true,
                 b"0" | b"false" => {}
-                other => self.note_unread(&String::from_utf8_lossy(other)),
+                other => self.note_unreadable(&String::from_utf8_lossy(other)),
             }
         }
     }
 
-    /// Reads the values of a refusal's `Retry-After`: seconds, also in fractions, or a date. Of several
-    /// the longest holds.
+    /// Parses the values of a refusal's `Retry-After`: seconds, also fractions of one, or an HTTP
+    /// date. Of several values the longest applies.
     pub fn read_retry_after<'a>(&mut self, values: impl Iterator<Item = &'a [u8]>, now: Moment) {
         for value in values {
             let text = String::from_utf8_lossy(value);
-            match rest_ms(text.trim()) {
-                None => self.note_unread(&text),
+            match backoff_ms(text.trim()) {
+                None => self.note_unreadable(&text),
                 Some(0) => {}
                 Some(millis) => {
                     self.backoff_until = self.backoff_until.max(Some(Deadline::after(now, millis)));
@@ -87,25 +88,25 @@
         }
     }
 
-    fn note_unread(&mut self, text: &str) {
-        self.unread = Some(text.chars().take(SHOWN).collect::<String>().into());
+    fn note_unreadable(&mut self, text: &str) {
+        self.unreadable = Some(text.chars().take(MAX_UNREADABLE_CHARS).collect::<String>().into());
     }
 }
 
-fn rest_ms(text: &str) -> Option<u64> {
+fn backoff_ms(text: &str) -> Option<u64> {
     let millis = match text.parse::<f64>() {
         Ok(seconds) => seconds * 1_000.0,
-        // A date that is over asks for nothing.
+        // A date in the past asks for no back-off.
         Err(_) => {
             let date = httpdate::parse_http_date(text).ok()?;
             date.duration_since(SystemTime::now()).unwrap_or_default().as_millis() as f64
         }
     };
-    (millis >= 0.0).then(|| millis.min(LONGEST_REST_MS).ceil() as u64)
+    (millis >= 0.0).then(|| millis.min(MAX_BACKOFF_MS).ceil() as u64)
 }
 
-/// The end of a rest, put off by a part of it that a random number draws.
+/// The end of a back-off, extended by up to one eighth of the time left; `draw` is a random number.
 pub fn jitter_backoff(until: Deadline, now: Moment, draw: u64) -> Deadline {
-    let most_ms = until.millis_left(now) / SPREAD_PART;
-    Deadline::after(until.0, draw % (most_ms + 1))
+    let max_jitter_ms = until.millis_left(now) / BACKOFF_JITTER_DIVISOR;
+    Deadline::after(until.0, draw % (max_jitter_ms + 1))
 }
--- a/crates/guava-policy/tests/word_table.rs
+++ b/crates/guava-policy/tests/announcement_table.rs
@@ -1,4 +1,4 @@
-//! What upstreams say of themselves, in answers that overtake each other.
+//! Parsing of upstream announcements, and the table of them when answers overtake each other.
 
 use guava_policy::{
     AnnouncedLimit, AnnouncementChange, AnnouncementTable, LimitNotice, UpstreamAnnouncements,
@@ -28,8 +28,9 @@
     announcements
 }
 
-/// Plays answers, each as the limit that it names, the sending of its request and its arrival.
-fn play(answers: &[(Option<f64>, u64, u64)]) -> Option<LimitRate> {
+/// Records answers and returns the limit then known. Each answer is the limit that it names, the
+/// moment at which its request was sent, and the moment of its arrival.
+fn limit_after(answers: &[(Option<f64>, u64, u64)]) -> Option<LimitRate> {
     let mut table = AnnouncementTable::default();
     for (named, sent, arrived) in answers {
         let announcements = named.map(limited).unwrap_or_default();
@@ -42,72 +43,76 @@
     named = { &[(Some(2.0), 10, 20)], Some(2.0) },
     lowered = { &[(Some(2.0), 10, 20), (Some(0.5), 30, 40)], Some(0.5) },
     raised = { &[(Some(2.0), 10, 20), (Some(20.0), 30, 40)], Some(20.0) },
-    over = { &[(Some(2.0), 10, 20), (None, 30, 40)], None },
-    over_and_named_again = { &[(Some(2.0), 10, 20), (None, 30, 40), (Some(3.0), 41, 50)], Some(3.0) },
-    answer_on_the_way_ends_nothing = { &[(Some(2.0), 10, 20), (None, 15, 40)], Some(2.0) },
+    ended = { &[(Some(2.0), 10, 20), (None, 30, 40)], None },
+    ended_and_named_again = { &[(Some(2.0), 10, 20), (None, 30, 40), (Some(3.0), 41, 50)], Some(3.0) },
+    answer_sent_before_keeps_the_limit = { &[(Some(2.0), 10, 20), (None, 15, 40)], Some(2.0) },
     never_named = { &[(None, 10, 20)], None },
 )]
-fn limit_holds_as_long_as_answers_name_it(
-    answers: &[(Option<f64>, u64, u64)],
-    expected: Option<f64>,
-) {
-    assert_eq!(play(answers), expected.map(rate));
+fn limit_holds_while_answers_name_it(answers: &[(Option<f64>, u64, u64)], expected: Option<f64>) {
+    assert_eq!(limit_after(answers), expected.map(rate));
 }
 
 #[parameterized(
     decimal = { &["2.7"], AnnouncedLimit::Named(rate(2.7)), false },
-    whole = { &[" 20 "], AnnouncedLimit::Named(rate(20.0)), false },
-    nothing = { &["0"], AnnouncedLimit::Named(rate(0.0)), false },
+    integer = { &[" 20 "], AnnouncedLimit::Named(rate(20.0)), false },
+    zero_rate = { &["0"], AnnouncedLimit::Named(rate(0.0)), false },
     very_small = { &["0.01"], AnnouncedLimit::Named(rate(0.01)), false },
     very_large = { &["1e9"], AnnouncedLimit::Named(rate(1e9)), false },
     twice = { &["20", "2"], AnnouncedLimit::Named(rate(2.0)), false },
     twice_and_bad = { &["2", "fast"], AnnouncedLimit::Named(rate(2.0)), true },
-    negative = { &["-1"], AnnouncedLimit::Unread, true },
-    no_number = { &["NaN"], AnnouncedLimit::Unread, true },
-    endless = { &["inf"], AnnouncedLimit::Unread, true },
-    empty = { &[""], AnnouncedLimit::Unread, true },
+    negative = { &["-1"], AnnouncedLimit::Unreadable, true },
+    not_a_number = { &["NaN"], AnnouncedLimit::Unreadable, true },
+    infinite = { &["inf"], AnnouncedLimit::Unreadable, true },
+    empty = { &[""], AnnouncedLimit::Unreadable, true },
     absent = { &[], AnnouncedLimit::None, false },
 )]
-fn value_of_a_limit_is_read_or_told_to_be_unreadable(
+fn limit_value_is_parsed_or_marked_unreadable(
     values: &[&str],
     expected: AnnouncedLimit,
-    is_unread: bool,
+    is_unreadable: bool,
 ) {
     let announcements = read(values);
 
-    assert_eq!((announcements.limit, announcements.unread.is_some()), (expected, is_unread));
+    assert_eq!(
+        (announcements.limit, announcements.unreadable.is_some()),
+        (expected, is_unreadable)
+    );
 }
 
 #[test]
-fn unreadable_limit_leaves_what_was_known_and_is_news_once() {
+fn unreadable_limit_keeps_the_known_limit_and_is_reported_once() {
     let mut table = AnnouncementTable::default();
     table.note_answer(&id("u"), &limited(2.0), Moment(10), Moment(20));
 
     let first = table.note_answer(&id("u"), &read(&["fast"]), Moment(30), Moment(40));
     let again = table.note_answer(&id("u"), &read(&["fast"]), Moment(50), Moment(60));
 
-    assert_eq!((first, again), (vec![AnnouncementChange::Unread("fast".into())], vec![]));
+    assert_eq!((first, again), (vec![AnnouncementChange::Unreadable("fast".into())], vec![]));
     assert_eq!(table.limit(&id("u")), Some(rate(2.0)));
 }
 
 #[test]
-fn later_word_of_another_daemon_counts_and_an_earlier_one_does_not() {
+fn limit_reported_by_another_daemon_applies_only_if_it_is_newer() {
     let mut table = AnnouncementTable::default();
     table.note_answer(&id("u"), &limited(2.0), Moment(90), Moment(100));
     let notice = |rate, as_of| LimitNotice { upstream: id("u"), rate, as_of: Moment(as_of) };
 
     table.apply_limit_notice(&notice(None, 95), Moment(200));
-    let after_old = table.limit(&id("u"));
+    let after_stale = table.limit(&id("u"));
     table.apply_limit_notice(&notice(None, 150), Moment(200));
-    let after_new = table.limit(&id("u"));
+    let after_newer = table.limit(&id("u"));
     table.apply_limit_notice(&notice(Some(rate(2.0)), 120), Moment(210));
 
-    assert_eq!((after_old, after_new), (Some(rate(2.0)), None));
-    assert_eq!(table.limit(&id("u")), None, "told by a daemon that is behind");
+    assert_eq!((after_stale, after_newer), (Some(rate(2.0)), None));
+    assert_eq!(
+        table.limit(&id("u")),
+        None,
+        "a stale report of another daemon must not restore the limit"
+    );
 }
 
 #[test]
-fn end_of_a_limit_is_told_for_a_while_however_many_answers_follow() {
+fn end_of_a_limit_is_reported_for_its_retention_however_many_answers_follow() {
     let mut table = AnnouncementTable::default();
     table.note_answer(&id("u"), &limited(2.0), Moment(10), Moment(20));
     for second in 1..40 {
@@ -128,7 +133,7 @@
 }
 
 #[test]
-fn words_of_upstreams_that_are_gone_are_forgotten_after_a_while() {
+fn announcements_of_unlisted_upstreams_are_removed_after_their_retention() {
     let mut table = AnnouncementTable::default();
     table.note_answer(&id("u"), &limited(2.0), Moment(10), Moment(20));
 
@@ -141,24 +146,27 @@
 
 #[parameterized(
     one = { "1", true, false },
-    word = { " true ", true, false },
+    true_text = { " true ", true, false },
     zero = { "0", false, false },
     other = { "soon", false, true },
 )]
-fn value_of_leaving_is_read_or_told_to_be_unreadable(
+fn leaving_value_is_parsed_or_marked_unreadable(
     value: &str,
     is_leaving: bool,
-    is_unread: bool,
+    is_unreadable: bool,
 ) {
     let mut announcements = UpstreamAnnouncements::default();
 
     announcements.read_leaving([value.as_bytes()].into_iter());
 
-    assert_eq!((announcements.is_leaving, announcements.unread.is_some()), (is_leaving, is_unread));
+    assert_eq!(
+        (announcements.is_leaving, announcements.unreadable.is_some()),
+        (is_leaving, is_unreadable)
+    );
 }
 
 #[test]
-fn leaving_is_final_and_news_once() {
+fn leaving_is_final_and_reported_once() {
     let mut table = AnnouncementTable::default();
     let leaving = UpstreamAnnouncements { is_leaving: true, ..UpstreamAnnouncements::default() };
 
@@ -182,28 +190,28 @@
     seconds = { &["3"], Some(4_000), false },
     fraction = { &["0.25"], Some(1_250), false },
     longest_of_two = { &["1", "3"], Some(4_000), false },
-    nothing = { &["0"], None, false },
-    day_is_cut = { &["86400"], Some(601_000), false },
-    endless_is_cut = { &["inf"], Some(601_000), false },
+    zero_seconds = { &["0"], None, false },
+    day_is_capped = { &["86400"], Some(601_000), false },
+    infinite_is_capped = { &["inf"], Some(601_000), false },
     negative = { &["-3"], None, true },
-    no_number = { &["NaN"], None, true },
+    not_a_number = { &["NaN"], None, true },
     text = { &["soon"], None, true },
-    date_that_is_over = { &["Sun, 06 Nov 1994 08:49:37 GMT"], None, false },
+    date_in_the_past = { &["Sun, 06 Nov 1994 08:49:37 GMT"], None, false },
     absent = { &[], None, false },
 )]
-fn value_of_a_rest_is_read_or_told_to_be_unreadable(
+fn retry_after_value_is_parsed_or_marked_unreadable(
     values: &[&str],
     until: Option<u64>,
-    is_unread: bool,
+    is_unreadable: bool,
 ) {
     let announcements = read_retry_after(values);
 
     assert_eq!(announcements.backoff_until, until.map(|until| Deadline(Moment(until))));
-    assert_eq!(announcements.unread.is_some(), is_unread);
+    assert_eq!(announcements.unreadable.is_some(), is_unreadable);
 }
 
 #[test]
-fn rest_until_a_date_is_read() {
+fn retry_after_date_is_parsed() {
     let date = std::time::SystemTime::now() + std::time::Duration::from_secs(30);
 
     let announcements = read_retry_after(&[&httpdate::fmt_http_date(date)]);
@@ -213,27 +221,27 @@
 }
 
 #[test]
-fn rest_is_made_longer_by_later_words_and_not_shorter() {
+fn back_off_is_extended_by_later_answers_and_not_shortened() {
     let mut table = AnnouncementTable::default();
-    let rest = |until| UpstreamAnnouncements {
+    let backoff = |until| UpstreamAnnouncements {
         backoff_until: Some(Deadline(Moment(until))),
         ..UpstreamAnnouncements::default()
     };
-    table.note_answer(&id("u"), &rest(3_000), Moment(10), Moment(20));
+    table.note_answer(&id("u"), &backoff(3_000), Moment(10), Moment(20));
 
-    let shorter = table.note_answer(&id("u"), &rest(2_000), Moment(30), Moment(40));
-    let longer = table.note_answer(&id("u"), &rest(5_000), Moment(50), Moment(60));
+    let shorter = table.note_answer(&id("u"), &backoff(2_000), Moment(30), Moment(40));
+    let longer = table.note_answer(&id("u"), &backoff(5_000), Moment(50), Moment(60));
     table.note_answer(&id("u"), &UpstreamAnnouncements::default(), Moment(70), Moment(80));
 
     assert_eq!(shorter, []);
     assert_eq!(longer, [AnnouncementChange::BackingOff(Deadline(Moment(5_000)))]);
     assert!(table.backoff_until(&id("u"), Moment(4_999)).is_some());
     assert!(table.backoff_until(&id("u"), Moment(5_000)).is_none());
-    assert!(table.note_send(&id("u")) && !table.note_send(&id("u")), "ends once");
+    assert!(table.note_send(&id("u")) && !table.note_send(&id("u")), "the back-off ends once");
 }
 
 #[test]
-fn rests_that_begin_together_do_not_end_together() {
+fn back_offs_that_begin_together_do_not_end_together() {
     let until = Deadline(Moment(4_000));
     let ends: Vec<u64> =
         (0..8).map(|draw| jitter_backoff(until, Moment(1_000), draw * 50).0.0).collect();
