--- a/crates/guava-policy/tests/route.rs
+++ b/crates/guava-policy/tests/route.rs
@@ -1,4 +1,4 @@
-//! Routing decisions on late and partial knowledge.
+//! Routing decisions on stale and incomplete information.
 
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
@@ -57,10 +57,10 @@
 const THRIFTY: WeightProfile = WeightProfile { first_token: 1, recompute: 10, link: 10 };
 
 #[parameterized(
-    resident_beats_idle = { 100.0, 8_000, "held" },
-    long_queue_beats_resident = { 5_000.0, 8_000, "idle" },
+    cached_prompt_beats_idle = { 100.0, 8_000, "held" },
+    long_queue_beats_cached_prompt = { 5_000.0, 8_000, "idle" },
 )]
-fn residence_against_queue(wait_ms: f64, resident: u64, expected: &str) {
+fn cached_prompt_is_weighed_against_queueing(wait_ms: f64, resident: u64, expected: &str) {
     let candidates = [candidate("held", wait_ms, resident), candidate("idle", 0.0, 0)];
 
     let decision = decide_route(&input(&candidates, None, FAST)).unwrap();
@@ -74,7 +74,12 @@
     queued_link = { FAST, 100_000_000, 500_000_000, false },
     thrifty_customer_on_a_narrow_link = { THRIFTY, 400_000, 0, true },
 )]
-fn import_or_recompute(profile: WeightProfile, rate: u64, queued: u64, expected: bool) {
+fn import_is_weighed_against_recomputing(
+    profile: WeightProfile,
+    rate: u64,
+    queued: u64,
+    expected: bool,
+) {
     let candidates = [candidate("idle", 0.0, 0)];
     let offer = offer(7_936, rate, queued);
 
@@ -85,9 +90,9 @@
 
 #[test]
 fn thrifty_customer_waits_longer_for_an_import() {
-    // Symptom: a narrow link is used in vain: imports are given up half way and recomputed.
-    // Sequence: imports queue on a narrow link; recomputed tokens weigh most.
-    // Cause: an import is given up by time alone, whatever the weights.
+    // Guards against imports over a narrow link that are abandoned halfway and then recomputed.
+    // This happens when recomputed tokens weigh most but imports time out regardless of the
+    // weights.
     let candidates = [candidate("idle", 0.0, 0)];
     let offer = offer(7_936, 400_000, 0);
     let budget = |profile| {
@@ -103,15 +108,14 @@
 }
 
 #[test]
-fn nothing_to_choose_from() {
+fn no_candidates_give_no_decision() {
     assert_eq!(decide_route(&input(&[], None, FAST)), None);
 }
 
 #[test]
-fn equal_choices_are_spread() {
-    // Symptom: all daemons choose the one upstream that reported idle.
-    // Sequence: many requests are decided on the same report.
-    // Cause: the decision takes the first of the best.
+fn requests_are_spread_over_equal_candidates() {
+    // Guards against all daemons choosing the same idle upstream. This happens when many requests
+    // are routed by the same report and the first of several equal candidates is taken.
     let candidates: Vec<RouteCandidate> =
         (0..4).map(|number| candidate(&format!("e{number}"), 0.0, 0)).collect();
     let mut counts = [0; 4];
@@ -127,7 +131,7 @@
 }
 
 #[test]
-fn own_upstreams_go_first_among_equals_only() {
+fn preferred_upstream_is_chosen_only_among_equal_candidates() {
     let mut candidates: Vec<RouteCandidate> =
         (0..4).map(|number| candidate(&format!("e{number}"), 0.0, 0)).collect();
     candidates[2].is_preferred = true;
@@ -141,7 +145,7 @@
 }
 
 #[test]
-fn own_work_since_a_report_counts() {
+fn requests_sent_since_a_report_add_to_the_wait() {
     let mut loads = LoadTable::default();
     let engine = upstream("e0");
     let idle = LoadReport { measured: Moment(1_000), slots: 8, ..LoadReport::default() };
@@ -154,29 +158,29 @@
 }
 
 #[test]
-fn slow_upstream_is_left_by_degrees_and_tried_again() {
-    // Symptom: a slow, not dead, upstream keeps its full share, or never gets work again.
-    // Sequence: its first tokens come ten times later than expected; later it is well.
-    // Cause: reports say nothing of speed; or a bad mark stays.
+fn slowness_grows_with_late_first_tokens_and_decays() {
+    // Guards against a slow upstream that keeps its full share of requests, or never gets requests
+    // again after it recovered. Its first tokens come ten times later than expected, which load
+    // reports do not show; the measured slowness must rise, and decay afterwards.
     let mut loads = LoadTable::default();
     let engine = upstream("e0");
-    let mut seen = Vec::new();
+    let mut samples = Vec::new();
     for round in 0..4_u64 {
         let sent = Moment(1_000 + round * 1_000);
         let ticket = loads.sent(&engine, TokenCount(1_000), 100.0, sent);
         loads.started(&engine, ticket, Moment(sent.0 + 1_000));
         loads.finished(&engine, ticket);
-        seen.push(loads.load(&engine).slowness(Moment(sent.0 + 1_000)));
+        samples.push(loads.load(&engine).slowness(Moment(sent.0 + 1_000)));
     }
 
     let later = loads.load(&engine).slowness(Moment(60_000));
 
-    assert!(seen.windows(2).all(|pair| pair[0] < pair[1]), "{seen:?}");
+    assert!(samples.windows(2).all(|pair| pair[0] < pair[1]), "{samples:?}");
     assert!(later < 1.1, "{later}");
 }
 
 #[test]
-fn silent_work_counts_as_slow_before_its_first_token() {
+fn overdue_first_token_counts_as_slowness() {
     let mut loads = LoadTable::default();
     let engine = upstream("e0");
 
