--- a/crates/guava-policy/src/lib.rs
+++ b/crates/guava-policy/src/lib.rs
@@ -1,7 +1,8 @@
-//! Decisions as pure functions: routing, admission, retries, reply order, export and placement.
+//! Decisions without I/O: routing, admission, retries, reply reassembly, export and placement.
 //!
-//! Every function takes what is known, however late or partial, and the current moment; none does
-//! I/O or reads a clock. The adapters at the edges carry the decisions out.
+//! Every function gets the current moment and the state known so far, which may be stale or
+//! incomplete. None does I/O or reads a clock, except that a date in a `Retry-After` is compared
+//! with the system time. The crates that use them carry the decisions out.
 
 mod admission;
 mod announcement_gate;
@@ -44,8 +45,8 @@
 pub use load::{LoadReport, LoadTable, PendingWork, UpstreamLoad};
 pub use memory_budget::{MemoryBudget, has_capacity};
 pub use memory_queue::MemoryQueue;
-pub use placement::{PlacementInput, PlacementMove, plan_afresh, plan_moves};
-pub use prefix::{BLOCK_TOKENS, PrefixChain, PrefixHash, prefix_chain, tokens_in};
+pub use placement::{PlacementInput, PlacementMove, plan_in_order, plan_moves};
+pub use prefix::{BLOCK_TOKENS, PrefixChain, PrefixHash, prefix_chain};
 pub use reply::{ReplyAssembler, ReplyChunk, ReplyStep};
 pub use retry::RetryBudget;
 pub use route::{
--- a/crates/guava-policy/src/placement.rs
+++ b/crates/guava-policy/src/placement.rs
@@ -1,27 +1,29 @@
-//! Placement of models on engines: the wanted counts with as few loads as possible.
+//! Placement of models on engines: reaches the wanted number of engines for each model with as few
+//! loads as possible.
 
 use guava_types::{FastMap, ModelName, UpstreamId};
 
-/// What a plan is made on.
+/// Input of a placement plan.
 #[derive(Clone, Debug)]
 pub struct PlacementInput<'a> {
-    /// Engines in use and the model each has now.
+    /// Engines in use, each with the model that it has loaded, if any.
     pub engines: &'a [(UpstreamId, Option<ModelName>)],
-    /// Wanted share of each model; positive.
+    /// Weight of each wanted model, positive; only the ratios count.
     pub demand: &'a [(ModelName, f64)],
 }
 
-/// One load to order.
+/// One model load to be ordered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlacementMove {
-    /// The engine.
+    /// The engine that loads the model.
     pub upstream: UpstreamId,
-    /// The model that it is to load.
+    /// The model to load.
     pub model: ModelName,
 }
 
-/// Wanted engines of each model: at least one each, the rest by largest remainder.
-fn targets(count: usize, demand: &[(ModelName, f64)]) -> Vec<(ModelName, usize)> {
+/// Wanted number of engines for each model: at least one each, the others by largest remainder. If
+/// there are too few engines, or no weights, the first models get one engine each.
+fn target_counts(count: usize, demand: &[(ModelName, f64)]) -> Vec<(ModelName, usize)> {
     let total: f64 = demand.iter().map(|pair| pair.1).sum();
     if total <= 0.0 || count < demand.len() {
         return demand.iter().take(count).map(|pair| (pair.0.clone(), 1)).collect();
@@ -34,16 +36,16 @@
             (model.clone(), 1 + exact.floor() as usize, exact.fract())
         })
         .collect();
-    let given: usize = shares.iter().map(|share| share.1).sum();
+    let assigned: usize = shares.iter().map(|share| share.1).sum();
     shares.sort_by(|left, right| right.2.total_cmp(&left.2).then(left.0.cmp(&right.0)));
-    shares.iter_mut().take(count - given).for_each(|share| share.1 += 1);
+    shares.iter_mut().take(count - assigned).for_each(|share| share.1 += 1);
     shares.into_iter().map(|share| (share.0, share.1)).collect()
 }
 
-/// Loads that lead to the wanted counts and leave every engine alone that need not change.
+/// The loads that reach the wanted counts; an engine that need not change keeps its model.
 pub fn plan_moves(input: &PlacementInput<'_>) -> Vec<PlacementMove> {
     let mut missing: FastMap<ModelName, usize> =
-        targets(input.engines.len(), input.demand).into_iter().collect();
+        target_counts(input.engines.len(), input.demand).into_iter().collect();
     let mut spare: Vec<&UpstreamId> = Vec::new();
     for (upstream, model) in input.engines {
         let wanted = model.as_ref().and_then(|model| missing.get_mut(model));
@@ -52,9 +54,9 @@
             _ => spare.push(upstream),
         }
     }
-    let mut order: Vec<(ModelName, usize)> = missing.into_iter().collect();
-    order.sort_by(|left, right| right.1.cmp(&left.1).then(left.0.cmp(&right.0)));
-    let wanted = order.into_iter().flat_map(|(model, left)| std::iter::repeat_n(model, left));
+    let mut sorted: Vec<(ModelName, usize)> = missing.into_iter().collect();
+    sorted.sort_by(|left, right| right.1.cmp(&left.1).then(left.0.cmp(&right.0)));
+    let wanted = sorted.into_iter().flat_map(|(model, left)| std::iter::repeat_n(model, left));
     spare
         .into_iter()
         .zip(wanted)
@@ -62,9 +64,10 @@
         .collect()
 }
 
-/// Baseline for comparison: assigns engines in order, whatever they have now.
-pub fn plan_afresh(input: &PlacementInput<'_>) -> Vec<PlacementMove> {
-    let wanted = targets(input.engines.len(), input.demand)
+/// Baseline for comparison: assigns models to engines in order, regardless of what they have
+/// loaded.
+pub fn plan_in_order(input: &PlacementInput<'_>) -> Vec<PlacementMove> {
+    let wanted = target_counts(input.engines.len(), input.demand)
         .into_iter()
         .flat_map(|(model, count)| std::iter::repeat_n(model, count));
     input
--- a/crates/guava-policy/src/prefix.rs
+++ b/crates/guava-policy/src/prefix.rs
@@ -1,18 +1,18 @@
-//! Hash chains over a prompt's blocks, rooted in customer, model and weight version.
+//! Hash chains over the blocks of a prompt, keyed by customer, model and weight version.
 //!
-//! The root makes equal prompts of two customers, or under two versions, share no hash: an index
-//! entry can't be found from the wrong side even if every other check were missing.
+//! Because of the key, equal prompts of two customers, or for two versions, share no hash: an index
+//! entry can't be found by the wrong customer or version even if every other check were missing.
 
 use guava_types::{CustomerId, ModelName, TokenCount, VersionName};
 use std::fmt;
 
-/// Tokens in one block of the chain.
+/// Number of tokens in one block of the chain.
 pub const BLOCK_TOKENS: u64 = 64;
-/// Bytes counted as one token where no tokenizer is at hand.
+/// Bytes that count as one token, since prompts are not tokenised here.
 const TOKEN_BYTES: usize = 4;
 const BLOCK_BYTES: usize = BLOCK_TOKENS as usize * TOKEN_BYTES;
 
-/// Hash of a prompt's first blocks, together with its root.
+/// Hash of all blocks of a prompt up to one of them, keyed by customer, model and version.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct PrefixHash(pub [u8; 16]);
 
@@ -28,41 +28,41 @@
     }
 }
 
-/// A prompt's chain: one hash for each whole block, each covering all blocks before it.
+/// A prompt's chain: one hash for each complete block, which covers that block and all before it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PrefixChain {
-    /// The engines' cache salt for this customer, model and version.
+    /// The cache salt that engines get for this customer, model and version.
     pub salt: Box<str>,
     /// Hashes, first block first.
     pub hashes: Vec<PrefixHash>,
-    /// The prompt's whole length.
+    /// Estimated length of the complete prompt.
     pub tokens: TokenCount,
 }
 
 impl PrefixChain {
-    /// What decides which daemon owns the prompt's entries: its first block, or the salt alone for
-    /// a prompt shorter than a block.
+    /// The hash by which the daemon is chosen that owns the prompt's index entries: that of its
+    /// first block, or of the salt for a prompt shorter than one block.
     pub fn owner_seed(&self) -> PrefixHash {
-        let short = || {
+        let salt_hash = || {
             let mut bytes = [0; 16];
             bytes.copy_from_slice(&blake3::hash(self.salt.as_bytes()).as_bytes()[..16]);
             PrefixHash(bytes)
         };
-        self.hashes.first().copied().unwrap_or_else(short)
+        self.hashes.first().copied().unwrap_or_else(salt_hash)
     }
 
-    /// Tokens that whole blocks cover.
+    /// Number of tokens in the complete blocks, rounded down from the length of the prompt.
     pub fn covered(&self) -> TokenCount {
         TokenCount(self.hashes.len() as u64 * BLOCK_TOKENS)
     }
 }
 
-/// A prompt's length where no tokenizer is at hand.
-pub fn tokens_in(prompt: &str) -> TokenCount {
+/// Estimates a prompt's length from its bytes, rounded up.
+fn estimated_tokens(prompt: &str) -> TokenCount {
     TokenCount(prompt.len().div_ceil(TOKEN_BYTES) as u64)
 }
 
-/// The chain of a prompt.
+/// Computes the chain of a prompt. A last block that is incomplete gets no hash.
 pub fn prefix_chain(
     customer: &CustomerId,
     model: &ModelName,
@@ -78,5 +78,5 @@
         hash.copy_from_slice(&hasher.finalize().as_bytes()[..16]);
         hashes.push(PrefixHash(hash));
     }
-    PrefixChain { salt: root.to_hex().as_str().into(), hashes, tokens: tokens_in(prompt) }
+    PrefixChain { salt: root.to_hex().as_str().into(), hashes, tokens: estimated_tokens(prompt) }
 }
--- a/crates/guava-policy/src/reply.rs
+++ b/crates/guava-policy/src/reply.rs
@@ -1,41 +1,41 @@
-//! Order of a streamed reply: repeats dropped, late chunks put in place, holes found.
+//! Reassembly of a streamed reply: drops repeated chunks, reorders late ones, and detects gaps.
 
 use std::collections::BTreeMap;
 
-/// Chunks held back behind a hole.
-const MAX_HELD: usize = 256;
+/// Upper bound on the chunks buffered behind a gap.
+const MAX_BUFFERED_CHUNKS: usize = 256;
 
-/// One chunk of an answer.
+/// One chunk of a reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplyChunk {
-    /// Its place in the answer, from zero.
+    /// Its index in the reply, from zero.
     pub position: u64,
-    /// Its text.
+    /// The text of the chunk.
     pub text: Box<str>,
 }
 
-/// What follows from a chunk or an end marker.
+/// What the caller of [`ReplyAssembler::push`] has to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReplyStep {
-    /// These chunks go to the caller now, in order; may be none.
+    /// Deliver these chunks in this order; may be empty.
     Deliver(Vec<ReplyChunk>),
-    /// Too much is held behind a hole: resume from this position.
+    /// Resume the stream: too many chunks were buffered behind a gap, and they have been dropped.
     Resume {
-        /// The first missing position.
+        /// The first missing position, from which to resume.
         from: u64,
     },
 }
 
-/// The state of one answer.
+/// Reassembles one reply.
 #[derive(Clone, Debug, Default)]
 pub struct ReplyAssembler {
     next: u64,
-    held: BTreeMap<u64, Box<str>>,
-    end: Option<u64>,
+    buffered: BTreeMap<u64, Box<str>>,
+    end_position: Option<u64>,
 }
 
 impl ReplyAssembler {
-    /// An answer of which the caller already has everything before a position.
+    /// Starts with a reply of which everything before this position has been delivered.
     pub fn starting_at(next: u64) -> Self {
         Self { next, ..Self::default() }
     }
@@ -45,33 +45,33 @@
         self.next
     }
 
-    /// Takes a chunk as it arrived.
+    /// Adds a chunk as it arrived, in any order; repeated chunks are ignored.
     pub fn push(&mut self, chunk: ReplyChunk) -> ReplyStep {
         if chunk.position >= self.next {
-            self.held.entry(chunk.position).or_insert(chunk.text);
+            self.buffered.entry(chunk.position).or_insert(chunk.text);
         }
         let mut ready = Vec::new();
-        while let Some(text) = self.held.remove(&self.next) {
+        while let Some(text) = self.buffered.remove(&self.next) {
             ready.push(ReplyChunk { position: self.next, text });
             self.next += 1;
         }
-        if self.held.len() > MAX_HELD {
-            self.held.clear();
+        if self.buffered.len() > MAX_BUFFERED_CHUNKS {
+            self.buffered.clear();
             return ReplyStep::Resume { from: self.next };
         }
         ReplyStep::Deliver(ready)
     }
 
-    /// Notes the end marker: how many chunks the whole answer has.
+    /// Records the end marker, which states how many chunks the complete reply has.
     pub fn note_end(&mut self, length: u64) {
-        self.end = Some(length);
+        self.end_position = Some(length);
     }
 
-    /// Whether the end marker came and no hole is left.
+    /// Whether the end marker has arrived and all chunks have been delivered.
     ///
-    /// A stream can end cleanly at the transport with chunks missing, when a middlebox closes it;
-    /// judged by the close alone, a short answer would pass for a whole one.
+    /// If a middlebox closes a stream, it can end cleanly at the transport with chunks missing.
+    /// Judged by the close alone, a truncated reply would pass for a complete one.
     pub fn is_complete(&self) -> bool {
-        self.end == Some(self.next)
+        self.end_position == Some(self.next)
     }
 }
--- a/crates/guava-policy/src/retry.rs
+++ b/crates/guava-policy/src/retry.rs
@@ -1,15 +1,15 @@
-//! Retry budget: retries are a bounded share of first attempts.
+//! Retry budget: limits retries to a fraction of the first attempts.
 //!
-//! Without it every failure turns into more load just when there is least room, and an overload
-//! feeds itself long after its cause is gone.
+//! Without it every failure adds load just when there is least capacity, and an overload sustains
+//! itself long after its cause has ended.
 
-/// Retries earned by each first attempt, in hundredths.
+/// Retries that each first attempt adds to the budget, in hundredths.
 const EARN_HUNDREDTHS: u32 = 10;
-/// Most that can be saved up, in hundredths.
+/// Upper bound of the budget, in hundredths of a retry.
 const CAP_HUNDREDTHS: u32 = 2_000;
 const COST_HUNDREDTHS: u32 = 100;
 
-/// A daemon's budget of retries.
+/// A budget of retries. The default is full and allows one retry for ten first attempts.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     hundredths: u32,
@@ -28,7 +28,8 @@
 }
 
 impl RetryBudget {
-    /// A full budget: retries earned by each first attempt, and the most that can be saved up.
+    /// A full budget. Each first attempt adds `earned` retries, up to `saved`; both may be
+    /// fractions, of which hundredths count.
     pub fn new(earned: f64, saved: f64) -> Self {
         let hundredths = |retries: f64| (retries * f64::from(COST_HUNDREDTHS)) as u32;
         Self {
@@ -38,16 +39,17 @@
         }
     }
 
-    /// Notes a first attempt.
+    /// Records a first attempt, which adds to the budget.
     pub fn earn(&mut self) {
         self.hundredths = (self.hundredths + self.earn_hundredths).min(self.cap_hundredths);
     }
 
-    /// Pays for one retry, if there is enough.
+    /// Takes one retry from the budget; returns `false`, and takes nothing, if less than one is
+    /// left.
     pub fn spend(&mut self) -> bool {
         match self.hundredths.checked_sub(COST_HUNDREDTHS) {
-            Some(rest) => {
-                self.hundredths = rest;
+            Some(left) => {
+                self.hundredths = left;
                 true
             }
             None => false,
--- a/crates/guava-policy/tests/placement.rs
+++ b/crates/guava-policy/tests/placement.rs
@@ -1,8 +1,8 @@
-//! Placement: the wanted counts with few moves.
+//! Placement reaches the wanted counts with few moves.
 
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
-use guava_policy::{PlacementInput, plan_afresh, plan_moves};
+use guava_policy::{PlacementInput, plan_in_order, plan_moves};
 use guava_types::{FastMap, ModelName, UpstreamId};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn both_plans_reach_the_same_counts_and_ours_never_moves_more() {
+fn plan_reaches_the_counts_of_the_baseline_with_no_more_moves() {
     let config = Config { cases: 256, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &SEED);
     let input = (
@@ -46,20 +46,23 @@
         .run(&input, |(current, demand)| {
             let engines: Vec<(UpstreamId, Option<ModelName>)> = (0..)
                 .zip(&current)
-                .map(|(index, at): (usize, _)| {
-                    (format!("e{index}").parse().unwrap(), at.map(model))
+                .map(|(index, loaded): (usize, _)| {
+                    (format!("e{index}").parse().unwrap(), loaded.map(model))
                 })
                 .collect();
             let demand: Vec<(ModelName, f64)> =
-                (0..).map(model).zip(demand.iter().map(|share| f64::from(*share))).collect();
+                (0..).map(model).zip(demand.iter().map(|weight| f64::from(*weight))).collect();
             let input = PlacementInput { engines: &engines, demand: &demand };
 
-            let ours = plan_moves(&input);
-            let afresh = plan_afresh(&input);
+            let planned = plan_moves(&input);
+            let baseline = plan_in_order(&input);
 
-            prop_assert_eq!(counts(&apply(&engines, &ours)), counts(&apply(&engines, &afresh)));
-            prop_assert!(ours.len() <= afresh.len());
-            let settled = apply(&engines, &ours);
+            prop_assert_eq!(
+                counts(&apply(&engines, &planned)),
+                counts(&apply(&engines, &baseline))
+            );
+            prop_assert!(planned.len() <= baseline.len());
+            let settled = apply(&engines, &planned);
             let again = plan_moves(&PlacementInput { engines: &settled, demand: &demand });
             prop_assert!(again.is_empty());
             Ok(())
