--- a/crates/guava-policy/src/route.rs
+++ b/crates/guava-policy/src/route.rs
@@ -15,7 +15,7 @@
 /// Additional expected wait for each request beyond the free slots, in milliseconds.
 const SLOT_WAIT_MS: f64 = 100.0;
 
-/// An import of a sealed block over a link.
+/// A possible import of a sealed block over a link.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ImportOffer {
     /// Prompt tokens that the block covers.
@@ -44,7 +44,7 @@
     /// The import that remains where the upstream is known to hold a fraction of the offered block:
     /// the same tokens, fewer bytes. `None` if the complete block would be imported.
     pub missing: Option<ImportOffer>,
-    /// Factor by which its first tokens have come later than expected; 1 is as expected.
+    /// Factor by which it has been slower than expected; 1 is as expected.
     pub slowness: f64,
     /// Whether this daemon prefers it among candidates of equal cost.
     ///
@@ -80,7 +80,7 @@
     pub cost: f64,
     /// Expected time to first token, in milliseconds.
     pub first_token_ms: f64,
-    /// Time to first token at normal speed if nothing of the prompt is cached there, in
+    /// Time to first token at normal speed if the prompt turns out not to be cached, in
     /// milliseconds.
     pub worst_ms: f64,
     /// How long an import may take before recomputing would be cheaper, in milliseconds.
@@ -90,7 +90,8 @@
     pub import_budget_ms: f64,
     /// Whether importing the block is cheaper than recomputing the tokens that are not cached.
     pub import: bool,
-    /// Whether importing the block is cheaper than recomputing if nothing of the prompt is cached.
+    /// Whether importing the block is cheaper than recomputing if the prompt turns out not to be
+    /// cached.
     ///
     /// Cache events arrive late: an engine that is believed to have cached a prompt may have
     /// evicted it. If the request allows it to import what it lacks, a wrong belief costs a
--- a/crates/guava-policy/src/send_ledger.rs
+++ b/crates/guava-policy/src/send_ledger.rs
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Number of sends to an upstream within the last `millis` milliseconds, under the limits of
-    /// [`SendWindow::count`].
+    /// Number of sends to an upstream within the last `millis` milliseconds. `millis` is a few
+    /// thousand at most, since older sends may be missing.
     pub fn count(&self, upstream: &UpstreamId, millis: u64, now: Moment) -> usize {
         self.windows.get(upstream).map_or(0, |window| window.count(millis, now))
     }
--- a/crates/guava-policy/src/upstream_announcements.rs
+++ b/crates/guava-policy/src/upstream_announcements.rs
@@ -6,7 +6,7 @@
 use guava_types::{Deadline, LimitRate, Moment};
 use std::time::SystemTime;
 
-/// Longest part of an unreadable value that is kept for logs, in characters.
+/// Length to which an unreadable value is cut for logs, in characters.
 const MAX_UNREADABLE_CHARS: usize = 40;
 /// Longest back-off that is accepted, in milliseconds: a mistaken value must not close an upstream
 /// for good.
--- a/crates/guava-policy/tests/route.rs
+++ b/crates/guava-policy/tests/route.rs
@@ -57,11 +57,11 @@
 const THRIFTY: WeightProfile = WeightProfile { first_token: 1, recompute: 10, link: 10 };
 
 #[parameterized(
-    cached_prompt_beats_idle = { 100.0, 8_000, "held" },
+    cached_prompt_beats_idle = { 100.0, 8_000, "cached" },
     long_queue_beats_cached_prompt = { 5_000.0, 8_000, "idle" },
 )]
 fn cached_prompt_is_weighed_against_queueing(wait_ms: f64, resident: u64, expected: &str) {
-    let candidates = [candidate("held", wait_ms, resident), candidate("idle", 0.0, 0)];
+    let candidates = [candidate("cached", wait_ms, resident), candidate("idle", 0.0, 0)];
 
     let decision = decide_route(&input(&candidates, None, FAST)).unwrap();
 
