--- a/crates/guava-serve/src/request/engine_choice.rs
+++ b/crates/guava-serve/src/request/engine_choice.rs
@@ -1,7 +1,7 @@
-//! Which engine gets a prompt, and which cached parts it fetches and saves.
+//! Chooses the engine for a prompt, and which cached prompt parts it fetches and saves.
 //!
-//! The router weighs waiting, recomputing and importing (`guava_policy::decide_route`); this module
-//! works out its inputs from what is known here, and turns its choice into instructions.
+//! `guava_policy::decide_route` weighs waiting, recomputing and importing. This module computes its
+//! inputs from what this daemon knows, and turns its decision into an `EngineChoice`.
 
 use crate::parts::part_index::rendezvous_weight;
 use crate::parts::part_transfers::{FetchPlan, SaltOffer, resident};
@@ -14,170 +14,180 @@
 use guava_types::{FastMap, MemberName, Moment, TokenCount, UpstreamId};
 use std::net::SocketAddr;
 
-/// Extra cost of an engine with stale weights, in milliseconds to the first token. Its answer is
-/// worth a fifth less, about as much as a response late by this time risks.
-const STALE_MS: f64 = 60.0;
-/// Extra cost of an engine that is about to load weights: it refuses what it can't start at once.
-const LOADING_MS: f64 = 2_000.0;
-/// Extra cost of an engine in another data centre, in milliseconds, and more for each thousand
-/// tokens of the prompt: the round trip is longer, and traffic between data centres is dear.
-const REMOTE_MS: f64 = 5.0;
-const REMOTE_MS_PER_K: f64 = 4.0;
-/// Requests beyond its slots that an engine counts as having while its memory is full: it would
-/// preempt somebody's run.
-const FULL_MEMORY_SLOTS: u32 = 4;
-/// How many times longer than expected a request may wait for its start.
-const LATEST_START: f64 = 2.0;
-/// Further wait at an engine that has other work, in milliseconds: for memory, or behind requests
-/// that are more urgent and come later.
-const UNFORESEEN_WAIT_MS: u64 = 2_000;
-/// Weights of time and recomputed tokens: a token recomputed is time of an engine that others wait
-/// for, and a part read again costs callers more than its transfer's wait.
-const PROFILE: WeightProfile = WeightProfile { first_token: 100, recompute: 12, link: 0 };
+/// Extra cost of an engine with stale weights, in milliseconds to the first token. An answer by stale
+/// weights is worth a fifth less, about the loss that a response late by this time risks.
+const STALE_PENALTY_MS: f64 = 60.0;
+/// Extra cost of an engine that is about to load weights, in milliseconds: it refuses requests that
+/// it can't start at once.
+const LOADING_PENALTY_MS: f64 = 2_000.0;
+/// Extra cost of an engine in another data centre, in milliseconds: a fixed one, and one for each
+/// thousand tokens of the prompt. The round trip is longer, and traffic between data centres is
+/// expensive.
+const REMOTE_PENALTY_MS: f64 = 5.0;
+const REMOTE_PENALTY_MS_PER_1K_TOKENS: f64 = 4.0;
+/// Requests beyond its slots that are added to the count of an engine whose memory is full: it would
+/// have to preempt another request.
+const FULL_MEMORY_PENALTY_SLOTS: u32 = 4;
+/// Factor from the expected wait of a request to the longest wait assumed.
+const LONGEST_WAIT_FACTOR: f64 = 2.0;
+/// Further wait assumed at an engine that has other work, in milliseconds: for memory, or behind more
+/// urgent requests that arrive later.
+const BUSY_ENGINE_MARGIN_MS: u64 = 2_000;
+/// Weights of the time to the first token, of recomputed tokens and of transfers. Recomputing uses
+/// engine time that other requests wait for, and costs callers more than the wait for a transfer.
+const ROUTE_PROFILE: WeightProfile = WeightProfile { first_token: 100, recompute: 12, link: 0 };
 
-/// Candidates this close to the best, as a share of its cost, are as good as the best. Long prompts
-/// are told to peers at once, so small differences are real.
-const NEAR_BEST: f64 = 0.02;
+/// Candidates whose cost exceeds the lowest by no more than this fraction count as equal to the best.
+/// The fraction is small: long prompts are reported to peers at once, so that small differences in
+/// cost are real.
+const NEAR_BEST_FRACTION: f64 = 0.02;
 
-/// A prompt that takes this part of an engine's memory, as one over it, is long.
-const LONG_PART: u64 = 16;
+/// A prompt is long if it takes at least one part in this many of an engine's memory.
+const LONG_PROMPT_DIVISOR: u64 = 16;
 
-/// The engine chosen, and what it is told.
+/// The chosen engine, and the instructions for it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineChoice {
-    /// Which.
+    /// The engine.
     pub upstream: UpstreamId,
-    /// Weights that it must have.
+    /// Version of the weights that it must serve.
     pub version: WeightVersion,
-    /// Text under which it keeps and looks up parts.
+    /// Cache salt under which it stores and looks up prompt parts.
     pub salt: Box<str>,
-    /// What to fetch.
+    /// Prompt parts to fetch; `None` if it fetches none.
     pub fetch: Option<FetchPlan>,
-    /// For each part the store to save it to.
+    /// For each prompt part, the store to save it to.
     pub save: Vec<Option<SocketAddr>>,
-    /// What fetches and saves put on the stores' links.
+    /// Transfers that the fetches and saves add to the stores' links.
     pub transfers: Vec<StoreTransfer>,
     /// Expected time to the first token, in milliseconds.
     pub expected_ms: f64,
-    /// Tokens that it is expected to read.
+    /// Tokens that it is expected to prefill.
     pub recompute: TokenCount,
-    /// Why, in a word.
+    /// Reason of the decision, for logs and metrics.
     pub reason: &'static str,
-    /// How many engines could have taken it.
+    /// Number of engines that could have taken the request.
     pub candidates: usize,
-    /// Whether the prompt is long: a few such fill an engine's memory.
+    /// Whether the prompt is long: a few such prompts fill an engine's memory.
     pub is_long: bool,
-    /// Whether it is long, and no engine has memory for it that is not costlier than waiting.
+    /// Whether the prompt is long, and even the engine of the lowest cost has no memory for it.
     pub is_crowded: bool,
 }
 
-/// When a request would start there at the latest, as far as can be told.
+/// Latest moment at which the request is expected to start at an engine.
 ///
-/// What counts for weights is when a request starts, not when it is sent: in an engine's queue it may
-/// wait past the time limit for its old weights.
+/// The time limit for old weights applies to the start of a request, not to its send: in an engine's
+/// queue a request may wait past that limit.
 fn expected_start(input: &EngineInput<'_>, engine: &UpstreamId) -> Moment {
     let wait_ms = input.wait_ms(engine);
     let is_busy = input.work.total(engine).running > 0;
-    let unforeseen_ms = if is_busy { UNFORESEEN_WAIT_MS } else { 0 };
-    Moment(input.now.0 + (wait_ms * LATEST_START) as u64 + unforeseen_ms)
+    let margin_ms = if is_busy { BUSY_ENGINE_MARGIN_MS } else { 0 };
+    Moment(input.now.0 + (wait_ms * LONGEST_WAIT_FACTOR) as u64 + margin_ms)
 }
 
-/// Engines that have the model in a version that may be used, with that version.
-fn usable<'a>(input: &EngineInput<'a>) -> Vec<(&'a UpstreamEntry, WeightVersion, VersionUse)> {
+/// Open engines not yet tried that serve the model in a permitted version, with that version.
+fn usable_engines<'a>(
+    input: &EngineInput<'a>,
+) -> Vec<(&'a UpstreamEntry, WeightVersion, VersionUse)> {
     let published = input.targets.published(&input.prompt.model);
-    let judged = input.upstreams.serving(input.service, input.now).filter_map(|entry| {
+    let engines = input.upstreams.serving(input.service, input.now).filter_map(|entry| {
         let model = &input.prompt.model;
         let version = input.upstreams.version(&entry.id, model, &published, input.now)?;
         let limit = input.version_limits;
         let start = expected_start(input, &entry.id);
-        let verdict = input.targets.judge(&input.prompt.model, version, limit, start);
+        let version_use = input.targets.judge(&input.prompt.model, version, limit, start);
         let is_open = !input.tried.contains(&entry.id) && !input.closed.contains(&entry.id);
-        let is_usable = verdict != VersionUse::Forbidden && is_open;
-        is_usable.then_some((entry, version, verdict))
+        let is_usable = version_use != VersionUse::Forbidden && is_open;
+        is_usable.then_some((entry, version, version_use))
     });
-    judged.collect()
+    engines.collect()
 }
 
-fn is_own(input: &EngineInput<'_>, upstream: &UpstreamId) -> bool {
+/// Whether this daemon has the highest rendezvous weight for an engine among its data centre's.
+fn is_local_owner(input: &EngineInput<'_>, upstream: &UpstreamId) -> bool {
     let weight = |member: &MemberName| rendezvous_weight(&(upstream, member), 1.0);
-    let own = weight(input.me);
-    input.peers.iter().all(|peer| weight(peer) <= own)
+    let local_weight = weight(input.local_daemon);
+    input.peers.iter().all(|peer| weight(peer) <= local_weight)
 }
 
 fn candidate(
     input: &EngineInput<'_>,
     entry: &UpstreamEntry,
-    verdict: VersionUse,
+    version_use: VersionUse,
     offer: &SaltOffer<'_>,
 ) -> RouteCandidate {
     let load = input.work.load(&entry.id);
     let total = input.work.total(&entry.id);
     let is_full = is_full(input, &entry.id);
     let over_slots = (total.running + 1).saturating_sub(entry.slots.max(1));
-    let penalty = match verdict {
-        VersionUse::Stale => STALE_MS,
+    let stale = match version_use {
+        VersionUse::Stale => STALE_PENALTY_MS,
         _ => 0.0,
     };
-    let loading = if input.upstreams.is_loading(&entry.id, input.now) { LOADING_MS } else { 0.0 };
-    let remote = remote_ms(input, entry);
+    let loading =
+        if input.upstreams.is_loading(&entry.id, input.now) { LOADING_PENALTY_MS } else { 0.0 };
+    let remote = remote_penalty_ms(input, entry);
     let resident = resident(input, &entry.id, &offer.salt);
     let missing = offer.import(input, &entry.data_centre, resident);
     RouteCandidate {
         upstream: entry.id.clone(),
-        wait_ms: input.wait_ms(&entry.id) + input.fixed_ms + penalty + loading + remote,
+        wait_ms: input.wait_ms(&entry.id) + input.fixed_ms + stale + loading + remote,
         prefill: input.prefill_of(&entry.id),
-        over_slots: over_slots + if is_full { FULL_MEMORY_SLOTS } else { 0 },
+        over_slots: over_slots + if is_full { FULL_MEMORY_PENALTY_SLOTS } else { 0 },
         resident,
         missing,
         slowness: load.slowness(input.now),
-        is_own: entry.data_centre == *input.data_centre && is_own(input, &entry.id),
+        is_own: entry.data_centre == *input.data_centre && is_local_owner(input, &entry.id),
     }
 }
 
-/// Whether an engine's memory would not hold the prompt beside what runs or waits there.
+/// Whether an engine has no memory for the prompt in addition to what runs or waits there.
 fn is_full(input: &EngineInput<'_>, engine: &UpstreamId) -> bool {
     let total = input.work.total(engine);
     let memory = input.traits.memory;
-    // A configuration that does not say how much memory engines have gives no reason to wait.
-    let is_told = memory.0 > 0;
-    let has_capacity = has_capacity(memory, input.memory_part, total.memory, input.prompt.memory());
-    is_told && total.running > 0 && !has_capacity
+    // An engine counts as full only if the configuration states its memory.
+    let is_memory_known = memory.0 > 0;
+    let has_capacity =
+        has_capacity(memory, input.memory_fraction, total.memory, input.prompt.memory());
+    is_memory_known && total.running > 0 && !has_capacity
 }
 
-/// Whether a prompt is long: a few of them fill an engine's memory.
+/// Whether the prompt is long, so that a few like it fill an engine's memory.
 fn is_long(input: &EngineInput<'_>) -> bool {
-    input.prompt.memory().0 * LONG_PART >= input.traits.memory.0
+    input.prompt.memory().0 * LONG_PROMPT_DIVISOR >= input.traits.memory.0
 }
 
-fn remote_ms(input: &EngineInput<'_>, entry: &UpstreamEntry) -> f64 {
+/// Extra cost of an engine for being in another data centre, in milliseconds; 0 in this one.
+fn remote_penalty_ms(input: &EngineInput<'_>, entry: &UpstreamEntry) -> f64 {
     if entry.data_centre == *input.data_centre {
         return 0.0;
     }
-    REMOTE_MS + REMOTE_MS_PER_K * input.prompt.input.0 as f64 / 1_000.0
+    REMOTE_PENALTY_MS + REMOTE_PENALTY_MS_PER_1K_TOKENS * input.prompt.input.0 as f64 / 1_000.0
 }
 
-/// Chooses an engine; nothing if none may take the request.
+/// Chooses the engine of the lowest cost; `None` if no engine may take the request.
 pub fn choose_engine(input: &EngineInput<'_>) -> Option<EngineChoice> {
-    let usable = usable(input);
+    let usable_engines = usable_engines(input);
     let mut offers: FastMap<WeightVersion, SaltOffer<'_>> = FastMap::default();
     let mut best: Option<(CandidateCost, WeightVersion, &'static str)> = None;
-    let mut versions: Vec<WeightVersion> = usable.iter().map(|(_, version, _)| *version).collect();
+    let mut versions: Vec<WeightVersion> =
+        usable_engines.iter().map(|(_, version, _)| *version).collect();
     versions.sort_unstable();
     versions.dedup();
-    // Stores hold different parts for each version, so each version is decided on by itself.
+    // Cached parts belong to one version of the weights, so each version is decided on separately.
     for version in versions {
         let offer = offers.entry(version).or_insert_with(|| SaltOffer::new(input, version));
-        let of_version = usable.iter().filter(|(_, own, _)| *own == version);
+        let of_version = usable_engines.iter().filter(|(_, served, _)| *served == version);
         let candidates: Vec<RouteCandidate> = of_version
-            .map(|(entry, _, verdict)| candidate(input, entry, *verdict, offer))
+            .map(|(entry, _, version_use)| candidate(input, entry, *version_use, offer))
             .collect();
         let route = RouteInput {
             prompt: input.prompt.input,
             candidates: &candidates,
-            // Reckoned for each engine.
+            // Each candidate has its own import cost in `missing`.
             import: None,
-            profile: PROFILE,
-            near_best: NEAR_BEST,
+            profile: ROUTE_PROFILE,
+            near_best: NEAR_BEST_FRACTION,
             draw: input.draw,
         };
         let Some(decision) = decide_route(&route) else { continue };
@@ -205,6 +215,6 @@
         expected_ms: cost.first_token_ms,
         recompute: cost.recompute,
         reason,
-        candidates: usable.len(),
+        candidates: usable_engines.len(),
     })
 }
--- a/crates/guava-serve/src/request/engine_input.rs
+++ b/crates/guava-serve/src/request/engine_input.rs
@@ -1,4 +1,4 @@
-//! What the choice of an engine is made on.
+//! Inputs of the choice of an engine for a prompt.
 
 use crate::parts::part_index::PartIndex;
 use crate::parts::store_links::StoreLinks;
@@ -11,63 +11,63 @@
 use guava_types::{DataCentre, MemberName, Moment, ServiceName, TokenRate, UpstreamId};
 use std::rc::Rc;
 
-/// What a choice is made on.
+/// Inputs of one choice of an engine.
 pub struct EngineInput<'a> {
-    /// The request.
+    /// The request to place.
     pub request: &'a AcceptedRequest,
     /// Its prompt.
     pub prompt: &'a PromptShape,
-    /// Service whose engines are asked.
+    /// Service whose engines are candidates.
     pub service: &'a ServiceName,
-    /// What they have in common.
+    /// Configured properties common to the service's engines.
     pub traits: &'a EngineTraits,
-    /// Stores of cached parts.
+    /// Configured stores of cached prompt parts.
     pub stores: &'a [Rc<StoreTraits>],
-    /// The upstreams.
+    /// Known upstreams, including those of other services.
     pub upstreams: &'a UpstreamTable,
-    /// Their work.
+    /// Requests in flight at the upstreams, of this daemon and its peers.
     pub work: &'a WorkTable,
-    /// Where parts lie.
+    /// Which engines and stores hold which prompt parts.
     pub parts: &'a PartIndex,
-    /// What the stores' links carry.
+    /// Transfers on the stores' links.
     pub links: &'a StoreLinks,
-    /// Published weights.
+    /// Published versions of weights.
     pub targets: &'a VersionTargets,
-    /// Time limits for new weights.
+    /// Time limits for the change to a new version.
     pub version_limits: VersionLimits,
-    /// Prefill throughput, as learnt.
+    /// Measured prefill throughput of all engines.
     pub prefill: TokenRate,
-    /// The same of each engine, as far as it is known.
+    /// Measured prefill throughput of single engines, where known.
     pub speeds: &'a EngineSpeeds,
-    /// Time to a first token beside the prefill, as learnt, in milliseconds.
+    /// Measured time to the first token in addition to the prefill, in milliseconds.
     pub fixed_ms: f64,
-    /// Part of the engines' memory that is planned with.
-    pub memory_part: f64,
-    /// This daemon.
-    pub me: &'a MemberName,
-    /// The other living daemons of this data centre.
+    /// Fraction of the engines' memory that the daemon plans with, 0 to 1.
+    pub memory_fraction: f64,
+    /// Name of this daemon.
+    pub local_daemon: &'a MemberName,
+    /// The other reachable daemons of this data centre.
     pub peers: &'a [MemberName],
-    /// Where this daemon stands.
+    /// Data centre of this daemon.
     pub data_centre: &'a DataCentre,
-    /// Engines that were tried for this request.
+    /// Engines to which this request was already sent.
     pub tried: &'a [UpstreamId],
-    /// Upstreams that may get nothing at present.
+    /// Upstreams that may get no request now.
     pub closed: &'a [UpstreamId],
     /// The current moment.
     pub now: Moment,
-    /// A random number that spreads equal choices.
+    /// Random number that decides between candidates of equal cost.
     pub draw: u64,
 }
 
 impl EngineInput<'_> {
-    /// Milliseconds that the request waits at an engine until it is read: by what is known one by one,
-    /// or by what peers said in sum, whichever is more.
+    /// Milliseconds that the request waits at an engine before its prefill: the longer of the wait
+    /// behind individually known requests and the wait by the totals that peers reported.
     pub(crate) fn wait_ms(&self, engine: &UpstreamId) -> f64 {
-        let listed = self.work.wait_ms(engine, self.request.priority(), self.now);
-        listed.max(self.work.peers_wait_ms(engine, self.prefill_of(engine), self.now))
+        let known_ms = self.work.wait_ms(engine, self.request.priority(), self.now);
+        known_ms.max(self.work.peers_wait_ms(engine, self.prefill_of(engine), self.now))
     }
 
-    /// Throughput with which an engine reads.
+    /// Prefill throughput of an engine; the common one if its own is not known.
     pub(crate) fn prefill_of(&self, engine: &UpstreamId) -> TokenRate {
         self.speeds.rate(engine).unwrap_or(self.prefill)
     }
--- a/crates/guava-serve/src/request/send_gate.rs
+++ b/crates/guava-serve/src/request/send_gate.rs
@@ -1,8 +1,9 @@
-//! Which upstreams may get a request at this moment, beside what their entries say.
+//! Decides which upstreams are open for a request now.
 //!
-//! Asked twice: when an upstream is chosen, and right before the send, since connecting takes time in
-//! which a data centre may have been drained, a share been used up, or the upstream have said something
-//! of itself in another answer.
+//! A listed upstream is closed while its data centre is drained, while its own announcements exclude
+//! it, or while this daemon's share of its rate limit or cold-start limit is used up. The gate is
+//! checked twice: when an upstream is chosen, and right before the send. Connecting takes time in which
+//! a data centre may be drained, a share used up, or another answer may carry a new announcement.
 
 use crate::members::member_table::MemberTable;
 use crate::metrics::LimitLevel;
@@ -17,49 +18,51 @@
 };
 use guava_types::{Deadline, LimitRate, MemberName, Moment, UpstreamId};
 
-/// Span over which sends are told as a rate, in milliseconds.
-const LEVEL_MS: u64 = 4_000;
+/// Window over which sends are reported as a rate, in milliseconds.
+const RATE_WINDOW_MS: u64 = 4_000;
 
-/// What decides on an upstream.
+/// State on which the gate decides.
 pub struct GateInput<'a> {
     /// Drained data centres.
     pub drains: &'a DrainTable,
-    /// What its service's upstreams bear while they are cold; nothing if they are never.
+    /// Send limit of the service's upstreams while they are cold; `None` if they have no cold phase.
     pub cold: Option<ColdRule>,
-    /// What upstreams have said of themselves.
+    /// Known announcements of upstreams.
     pub announcements: &'a AnnouncementTable,
-    /// This daemon's sends.
+    /// Recent sends of this daemon.
     pub sends: &'a SendLedger,
-    /// The daemons.
+    /// The roster of daemons, among which limits are shared.
     pub members: &'a MemberTable,
-    /// This one.
-    pub me: &'a MemberName,
+    /// Name of this daemon.
+    pub local_daemon: &'a MemberName,
 }
 
-/// An upstream's state at the gate.
+/// Whether an upstream is open for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GateState {
-    /// It may get any request.
+    /// The upstream may get the request; no cold-start limit applies.
     Open,
-    /// It is cold, and may get this one.
+    /// The upstream is cold, and this daemon's share permits the request.
     Cold,
-    /// It may get none now.
+    /// The upstream may get no request now.
     Closed(ClosedUpstream),
 }
 
 impl GateState {
-    /// Whether an upstream may get a request now.
+    /// Whether the upstream may get a request now, cold or not.
     pub fn is_open(self) -> bool {
         !matches!(self, Self::Closed(_))
     }
 }
 
-/// Judges an upstream.
+/// Decides whether an upstream may get a request from this daemon at a moment.
+///
+/// Records no send. Reasons are checked in this order: drained data centre, announcements, cold start.
 pub fn gate_state(input: &GateInput<'_>, entry: &UpstreamEntry, now: Moment) -> GateState {
     if input.drains.is_drained(&entry.data_centre) {
         return GateState::Closed(ClosedUpstream { reason: CloseReason::Drained, until: None });
     }
-    let share = |limit| limit_part(input.members, input.me, &entry.id, limit);
+    let share = |limit| local_limit_share(input.members, input.local_daemon, &entry.id, limit);
     if let Some(closed) = announcement_gate(input.announcements, input.sends, &entry.id, share, now)
     {
         return GateState::Closed(closed);
@@ -67,65 +70,67 @@
     let Some(rule) = input.cold.filter(|rule| is_cold(input, *rule, entry, now)) else {
         return GateState::Open;
     };
-    let place = input.members.sender_rank(input.me, entry.id.name());
-    // Who does not know the others can't tell its share.
-    let share = place.map(|place| cold_share(rule.per_second, input.members.count(), place));
+    let rank = input.members.sender_rank(input.local_daemon, entry.id.name());
+    // A daemon that does not know the other daemons can't compute its share, and sends nothing.
+    let share = rank.map(|rank| cold_share(rule.per_second, input.members.count(), rank));
     let share = share.unwrap_or_default();
     let closed = full_share(input.sends, &entry.id, share, CloseReason::Cold, now);
     closed.map_or(GateState::Cold, GateState::Closed)
 }
 
-/// A daemon's share of an upstream's limit; none for one that does not know the others.
-fn limit_part(
+/// This daemon's share of an upstream's limit; an empty share if it does not know the other daemons.
+fn local_limit_share(
     members: &MemberTable,
-    me: &MemberName,
+    local_daemon: &MemberName,
     upstream: &UpstreamId,
     limit: LimitRate,
 ) -> SendShare {
-    let place = members.sender_rank(me, upstream.name());
-    place.map(|place| limit_share(limit, members.count(), place)).unwrap_or_default()
+    let rank = members.sender_rank(local_daemon, upstream.name());
+    rank.map(|rank| limit_share(limit, members.count(), rank)).unwrap_or_default()
 }
 
-/// The upstreams that have a limit, with this daemon's share of it and its use.
+/// Limit, local share and recent send rate of each upstream that announced a limit, in requests per
+/// second.
 pub fn limit_levels(context: &ServeContext, now: Moment) -> Vec<LimitLevel> {
     let (announcements, sends, members) =
         (context.announcements.borrow(), context.sends.borrow(), context.members.borrow());
     let level = |notice: LimitNotice| {
         let limit = notice.rate?;
-        let share = limit_part(&members, &context.identity.name, &notice.upstream, limit);
-        let sent = sends.count(&notice.upstream, LEVEL_MS, now);
+        let share = local_limit_share(&members, &context.identity.name, &notice.upstream, limit);
+        let sent = sends.count(&notice.upstream, RATE_WINDOW_MS, now);
         Some(LimitLevel {
             limit: limit.as_per_second(),
             share: share.per_second(),
-            sends: sent as f64 * 1_000.0 / LEVEL_MS as f64,
+            sends: sent as f64 * 1_000.0 / RATE_WINDOW_MS as f64,
             upstream: notice.upstream,
         })
     };
     announcements.limit_notices(now).filter_map(level).collect()
 }
 
+/// Whether an upstream started recently, or its data centre was recently undrained.
 fn is_cold(input: &GateInput<'_>, rule: ColdRule, entry: &UpstreamEntry, now: Moment) -> bool {
     let returned = input.drains.returned(&entry.data_centre);
-    let has_rested = |returned| !Deadline::after(returned, rule.lasts_ms).passed(now);
-    !entry.cold_until.passed(now) || returned.is_some_and(has_rested)
+    let is_recent = |returned| !Deadline::after(returned, rule.lasts_ms).passed(now);
+    !entry.cold_until.passed(now) || returned.is_some_and(is_recent)
 }
 
-fn with_gate<T>(
+fn with_gate_input<T>(
     context: &ServeContext,
     rule: &ServiceRule,
-    ask: impl FnOnce(&GateInput<'_>) -> T,
+    evaluate: impl FnOnce(&GateInput<'_>) -> T,
 ) -> T {
-    ask(&GateInput {
+    evaluate(&GateInput {
         drains: &context.drains.borrow(),
         cold: rule.cold,
         announcements: &context.announcements.borrow(),
         sends: &context.sends.borrow(),
         members: &context.members.borrow(),
-        me: &context.identity.name,
+        local_daemon: &context.identity.name,
     })
 }
 
-/// The upstreams of a service that may get nothing now.
+/// The listed upstreams of a service that may get no request now.
 pub fn closed_upstreams(
     context: &ServeContext,
     rule: &ServiceRule,
@@ -133,17 +138,19 @@
 ) -> Vec<UpstreamId> {
     let upstreams = context.upstreams.borrow();
     let serving = upstreams.serving(&rule.name, now);
-    with_gate(context, rule, |input| {
+    with_gate_input(context, rule, |input| {
         let is_closed = |entry: &&UpstreamEntry| !gate_state(input, entry, now).is_open();
         serving.filter(is_closed).map(|entry| entry.id.clone()).collect()
     })
 }
 
-/// When the first upstream of a service may get a request again, if none may now and that is known.
+/// The moment at which the first closed upstream of a service opens again.
+///
+/// `None` if any upstream of the service is open now, or if no closed one has a known end.
 pub fn reopening(context: &ServeContext, rule: &ServiceRule, now: Moment) -> Option<Moment> {
     let upstreams = context.upstreams.borrow();
     let mut serving = upstreams.serving(&rule.name, now);
-    with_gate(context, rule, |input| {
+    with_gate_input(context, rule, |input| {
         serving.try_fold(None, |first: Option<Moment>, entry| match gate_state(input, entry, now) {
             GateState::Open | GateState::Cold => Err(()),
             GateState::Closed(closed) => Ok(first.into_iter().chain(closed.until).min()),
@@ -153,7 +160,9 @@
     .flatten()
 }
 
-/// Whether a request may be sent to an upstream right now; notes it as sent.
+/// Checks the gate right before a send, and records the send if the upstream is open.
+///
+/// An upstream that is leaving or no longer listed is closed with `CloseReason::Left`.
 pub fn pass_gate(
     context: &ServeContext,
     rule: &ServiceRule,
@@ -164,7 +173,7 @@
         let upstreams = context.upstreams.borrow();
         let entry = upstreams.entry(upstream).filter(|entry| !entry.is_leaving);
         match entry {
-            Some(entry) => with_gate(context, rule, |input| gate_state(input, entry, now)),
+            Some(entry) => with_gate_input(context, rule, |input| gate_state(input, entry, now)),
             None => GateState::Closed(ClosedUpstream { reason: CloseReason::Left, until: None }),
         }
     };
