--- a/crates/guava-serve/src/lib.rs
+++ b/crates/guava-serve/src/lib.rs
@@ -55,7 +55,7 @@
 pub use request::admit::{AdmitRefusal, AdmittedCaller, HeldBytes, admit};
 pub use request::answer_body::{AnswerBody, BrokenStream};
 pub use request::answer_timeout::{first_answer_timeout_ms, return_after_ms};
-pub use request::dialect::{AnswerMarks, Dialect, EngineOrders, SendPlan};
+pub use request::dialect::{AnswerMarks, Dialect, EngineInstructions, SendPlan};
 pub use request::dispatch::serve_request;
 pub use request::engine_choice::{EngineChoice, choose_engine};
 pub use request::engine_input::EngineInput;
--- a/crates/guava-serve/src/request/attempt.rs
+++ b/crates/guava-serve/src/request/attempt.rs
@@ -8,7 +8,7 @@
 use crate::request::dialect::AnswerMarks;
 use crate::request::event_framer::{EventBatch, EventFramer};
 use crate::request::freshness_wait::await_fresh_list;
-use crate::request::request_plan::{PlanInput, can_place};
+use crate::request::request_plan::{PlanInput, has_available_upstream};
 use crate::request::send_gate::{GateState, pass_gate};
 use crate::serve_context::ServeContext;
 use crate::upstreams::announcement_watch::note_announcements;
@@ -165,7 +165,7 @@
         }
         let is_over = plan.deadline.passed(Moment::now());
         if !is_over
-            && can_place(input)
+            && has_available_upstream(input)
             && input.context.retries.borrow_mut().spend(&plan.service.name)
         {
             return Waited::Abandoned;
--- a/crates/guava-serve/src/request/dialect.rs
+++ b/crates/guava-serve/src/request/dialect.rs
@@ -13,7 +13,7 @@
 
 /// What an engine is told beside the request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct EngineOrders {
+pub struct EngineInstructions {
     /// Weights that it must have; otherwise it must not run the request.
     pub version: WeightVersion,
     /// Text under which it keeps and looks up cached parts.
@@ -38,7 +38,7 @@
     /// Rank among requests; 0 goes first.
     pub priority: u8,
     /// For an engine.
-    pub engine: Option<EngineOrders>,
+    pub engine: Option<EngineInstructions>,
     /// The event after which a stream goes on.
     pub resume_after: Option<Box<str>>,
 }
--- a/crates/guava-serve/src/request/request_plan.rs
+++ b/crates/guava-serve/src/request/request_plan.rs
@@ -8,7 +8,7 @@
 use crate::request::accepted_request::{AcceptedRequest, PromptShape};
 use crate::request::answer_timeout::first_answer_timeout_ms;
 use crate::request::attempt_plan::AttemptPlan;
-use crate::request::dialect::{EngineOrders, SendPlan};
+use crate::request::dialect::{EngineInstructions, SendPlan};
 use crate::request::engine_choice::{EngineChoice, choose_engine};
 use crate::request::engine_input::EngineInput;
 use crate::request::outcome::SendRecord;
@@ -64,7 +64,7 @@
     /// Hold it: it is long, and no engine has memory for it.
     Crowded,
     /// No upstream may take it.
-    Nowhere,
+    NoOpenUpstream,
 }
 
 /// Plans a send to a service. A long prompt may be held until an engine has memory for it.
@@ -72,7 +72,8 @@
     let engine = engine_of(input);
     let mut step = match engine {
         Some((traits, prompt)) => plan_engine(input, traits, prompt, may_hold),
-        None => plan_plain(input).map_or(PlanStep::Nowhere, |plan| PlanStep::Send(Box::new(plan))),
+        None => plan_plain(input)
+            .map_or(PlanStep::NoOpenUpstream, |plan| PlanStep::Send(Box::new(plan))),
     };
     if let PlanStep::Send(plan) = &mut step {
         let own = || input.request.resume_after.clone();
@@ -94,7 +95,7 @@
 }
 
 /// Whether any upstream that was not tried may take a request now.
-pub fn can_place(input: PlanInput<'_>) -> bool {
+pub fn has_available_upstream(input: PlanInput<'_>) -> bool {
     match engine_of(input) {
         Some((traits, prompt)) => choose_for(input, traits, prompt).is_some(),
         None => plan_plain(input).is_some(),
@@ -204,7 +205,7 @@
     may_hold: bool,
 ) -> PlanStep {
     let context = input.context;
-    let Some(choice) = choose_for(input, traits, prompt) else { return PlanStep::Nowhere };
+    let Some(choice) = choose_for(input, traits, prompt) else { return PlanStep::NoOpenUpstream };
     if choice.is_crowded && may_hold {
         return PlanStep::Crowded;
     }
@@ -218,7 +219,7 @@
     };
     note_choice(context, prompt, &choice, load.priority, now);
     match attempt_plan(input, choice.upstream.clone(), load) {
-        None => PlanStep::Nowhere,
+        None => PlanStep::NoOpenUpstream,
         Some(mut plan) => {
             plan.is_long = choice.is_long;
             plan.wait = choice.fetch.as_ref().map(|fetch| fetch.wait.clone());
@@ -267,7 +268,7 @@
     })
 }
 
-fn engine_orders(context: &ServeContext, choice: EngineChoice, now: Moment) -> EngineOrders {
+fn engine_orders(context: &ServeContext, choice: EngineChoice, now: Moment) -> EngineInstructions {
     // Without the upstreams' clock a fetch can't be bounded, and is left out.
     let fetch = choice.fetch.and_then(|fetch| {
         let until = context.upstream_clock_in(fetch.budget_ms, now)?;
@@ -277,7 +278,7 @@
         Some((sources, until)) => (sources, Some(until)),
         None => (Vec::new(), None),
     };
-    EngineOrders {
+    EngineInstructions {
         version: choice.version,
         salt: choice.salt,
         fetch,
--- a/crates/guava-serve/src/request/request_run.rs
+++ b/crates/guava-serve/src/request/request_run.rs
@@ -6,7 +6,7 @@
 use crate::request::freshness_wait::await_fresh_list;
 use crate::request::outcome::SendRecord;
 use crate::request::request_plan::{
-    PlanInput, PlanStep, can_place, is_crowded, log_send, plan_attempt,
+    PlanInput, PlanStep, has_available_upstream, is_crowded, log_send, plan_attempt,
 };
 use crate::serve_config::ServeConfig;
 use crate::serve_context::ServeContext;
@@ -75,7 +75,7 @@
             }
             let plan = match self.plan(resume_after) {
                 PlanStep::Send(plan) => plan,
-                PlanStep::Nowhere => return given_up(fallback, false),
+                PlanStep::NoOpenUpstream => return given_up(fallback, false),
                 PlanStep::Crowded => {
                     self.record.was_held = !self.hold().await;
                     if self.record.was_held {
@@ -193,7 +193,7 @@
         let is_over = self.request.deadline.passed(Moment::now());
         let is_stopped = quarantined_until(&self.context, || self.request.digest()).is_some();
         let may_move = !is_over && !is_stopped && self.may_try();
-        let can_move = may_move && can_place(self.plan_input()) && self.pay();
+        let can_move = may_move && has_available_upstream(self.plan_input()) && self.pay();
         self.is_paid |= can_move;
         can_move
     }
