--- a/crates/guava-serve/tests/send_gate.rs
+++ b/crates/guava-serve/tests/send_gate.rs
@@ -252,7 +252,7 @@
 #[test]
 fn drain_reaches_a_daemon_that_can_not_read_the_store() {
     // Guards against daemons that keep sending to a drained data centre: the store refuses a third of
-    // them, and read marks of peers that carry only a position do not tell them of the drain.
+    // them, and read marks of peers that carry only a position do not report the drain.
     let (one, two) = (daemon("d1"), daemon("d2"));
     one.members.borrow_mut().note_listed();
     apply_drain(&one, &drain(5, true), Moment::now());
--- a/crates/guava-serve/tests/support/played.rs
+++ b/crates/guava-serve/tests/support/load_simulation.rs
@@ -1,5 +1,5 @@
-//! A load, played without a network: the decisions as they are, before a small model of engines and
-//! stores of cached parts. Time is an argument; a run repeats exactly.
+//! Simulates a load without a network: the real decisions, against a small model of engines and stores
+//! of cached prompt parts. Time is an argument, so that runs are deterministic.
 
 use super::{engine, engine_traits, model, part, request, route};
 use guava_serve::{
@@ -11,41 +11,41 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Prefill of a modelled engine, and its time to a first token beside it.
+/// Prefill throughput of a modelled engine, and its time to a first token in addition to the prefill.
 const PREFILL: TokenRate = TokenRate(48_000);
 const FIXED_MS: f64 = 25.0;
-/// A transfer that would wait longer is not begun, in milliseconds.
-const LONGEST_WAIT_MS: f64 = 2_000.0;
-/// Lengths of a prompt's parts: shared by many, shared by its session, its own.
-const PARTS: [u64; 3] = [400, 8_600, 500];
-/// Sessions that return.
+/// Longest wait for a link, in milliseconds; a transfer that would wait longer is abandoned.
+const MAX_LINK_WAIT_MS: f64 = 2_000.0;
+/// Tokens of a prompt's parts: shared by many sessions, shared by its session, its own.
+const PART_TOKENS: [u64; 3] = [400, 8_600, 500];
+/// Number of sessions, whose prompts repeat.
 const SESSIONS: u64 = 60;
 
-/// What is played.
-pub struct PlayedLoad {
+/// A load to simulate.
+pub struct SimulatedLoad {
     /// The stores; sessions are spread over them.
     pub stores: Vec<Rc<StoreTraits>>,
-    /// Engines by name, with their data centres. The daemon stands in `east`.
+    /// Names and data centres of the engines. The daemon is in `east`.
     pub engines: Vec<(&'static str, &'static str)>,
-    /// Pause between two prompts, in milliseconds.
-    pub pause_ms: u64,
-    /// The first store's link is slow between these moments, and how many times.
+    /// Interval between two prompts, in milliseconds.
+    pub interval_ms: u64,
+    /// Start and end in milliseconds of the time in which the first store's link is slow, and the factor.
     pub slow: (u64, u64, f64),
-    /// Whether the daemon watches what it fetches.
+    /// Whether the daemon corrects its link estimates by the fetches it observes.
     pub is_watched: bool,
-    /// When the last prompt comes, in milliseconds.
+    /// Moment before which the last prompt arrives, in milliseconds.
     pub end_ms: u64,
 }
 
-/// A prompt that was answered.
+/// The answer to a simulated prompt.
 #[derive(Clone, Copy, Debug)]
-pub struct PlayedAnswer {
-    /// When it came.
+pub struct SimulatedAnswer {
+    /// Arrival of the prompt, in milliseconds.
     pub at: u64,
-    /// Milliseconds to its first token.
+    /// Milliseconds from the arrival to the first token.
     pub first_ms: u64,
-    /// Shared tokens that were read again.
-    pub read_again: u64,
+    /// Shared tokens that the engine recomputed.
+    pub recomputed_tokens: u64,
 }
 
 struct Pending {
@@ -54,8 +54,8 @@
     fetch: Option<FetchTicket>,
 }
 
-struct Player<'a> {
-    load: &'a PlayedLoad,
+struct LoadSimulator<'a> {
+    load: &'a SimulatedLoad,
     upstreams: UpstreamTable,
     work: WorkTable,
     parts: PartIndex,
@@ -65,31 +65,32 @@
     engine_free: FastMap<String, f64>,
 }
 
-/// Plays a load; the answers in the order of the prompts.
-pub fn play(load: &PlayedLoad) -> Vec<PlayedAnswer> {
-    let mut player = Player::new(load);
+/// Simulates a load; returns the answers in the order of the prompts.
+pub fn simulate(load: &SimulatedLoad) -> Vec<SimulatedAnswer> {
+    let mut simulator = LoadSimulator::new(load);
     let mut answers = Vec::new();
-    for (number, at) in (0..).zip((1_000..load.end_ms).step_by(load.pause_ms as usize)) {
-        player.advance(at);
-        answers.push(player.take_prompt(number, at));
+    for (number, at) in (0..).zip((1_000..load.end_ms).step_by(load.interval_ms as usize)) {
+        simulator.advance(at);
+        answers.push(simulator.place_prompt(number, at));
     }
     answers
 }
 
-/// Share of the prompts that came between two moments and had their first token in time.
-pub fn share_in_time(answers: &[PlayedAnswer], from: u64, until: u64, limit_ms: u64) -> f64 {
-    let came: Vec<_> = answers.iter().filter(|it| (from..until).contains(&it.at)).collect();
-    let in_time = came.iter().filter(|it| it.first_ms <= limit_ms).count();
-    in_time as f64 / came.len().max(1) as f64
+/// Fraction of the prompts that arrived between two moments whose first token came within a limit.
+pub fn fraction_in_time(answers: &[SimulatedAnswer], from: u64, until: u64, limit_ms: u64) -> f64 {
+    let in_window: Vec<_> =
+        answers.iter().filter(|answer| (from..until).contains(&answer.at)).collect();
+    let in_time = in_window.iter().filter(|answer| answer.first_ms <= limit_ms).count();
+    in_time as f64 / in_window.len().max(1) as f64
 }
 
 fn session(number: u64) -> u64 {
-    // Spread without a pattern that a store or an engine could share.
+    // Pseudo-random, so that the order of sessions doesn't coincide with that of stores or engines.
     (number.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 33) % SESSIONS
 }
 
 fn prompt(session: u64) -> PromptShape {
-    let [common, shared, own] = PARTS;
+    let [common, shared, own] = PART_TOKENS;
     let parts = vec![
         part(&format!("c{}", session % 3), common),
         part(&format!("s{session}"), shared),
@@ -98,13 +99,13 @@
     PromptShape {
         model: model(),
         parts,
-        input: TokenCount(PARTS.iter().sum()),
+        input: TokenCount(PART_TOKENS.iter().sum()),
         output: TokenCount(20),
     }
 }
 
-impl<'a> Player<'a> {
-    fn new(load: &'a PlayedLoad) -> Self {
+impl<'a> LoadSimulator<'a> {
+    fn new(load: &'a SimulatedLoad) -> Self {
         let mut upstreams = UpstreamTable::default();
         for (name, centre) in &load.engines {
             let data_centre = centre.parse().unwrap();
@@ -122,7 +123,7 @@
         }
     }
 
-    /// First tokens that came by now.
+    /// Records the first tokens that came by now, and the stores' reports.
     fn advance(&mut self, now: u64) {
         self.pending.sort_by_key(|pending| pending.first_at);
         let due = self.pending.iter().take_while(|pending| pending.first_at <= now).count();
@@ -137,7 +138,7 @@
         self.confirm_stores(now);
     }
 
-    /// The stores hold everything, and say so.
+    /// Records that the stores hold all shared parts.
     fn confirm_stores(&mut self, now: u64) {
         let stores = self.load.stores.len() as u64;
         for (index, store) in (0..).zip(&self.load.stores) {
@@ -147,15 +148,16 @@
             };
             let own = (0..SESSIONS).filter(|session| session % stores == index);
             let mut events: Vec<PartEvent> =
-                own.map(|session| held(format!("s{session}"), PARTS[1])).collect();
+                own.map(|session| held(format!("s{session}"), PART_TOKENS[1])).collect();
             if index + 1 == stores {
-                events.extend((0..3).map(|common| held(format!("c{common}"), PARTS[0])));
+                events.extend((0..3).map(|common| held(format!("c{common}"), PART_TOKENS[0])));
             }
             self.parts.note_events(store.address, 1, events, Moment(now));
         }
     }
 
-    fn take_prompt(&mut self, number: u64, at: u64) -> PlayedAnswer {
+    /// Chooses an engine for a prompt, records its load, and serves it.
+    fn place_prompt(&mut self, number: u64, at: u64) -> SimulatedAnswer {
         let now = Moment(at);
         let prompt = prompt(session(number));
         let choice = self.choose(&prompt, number, now);
@@ -176,22 +178,22 @@
         let work = self.work.begin(&choice.upstream, &expected, now);
         let (first_at, read) = self.serve(&choice, &prompt, at);
         self.pending.push(Pending { first_at, work, fetch });
-        PlayedAnswer { at, first_ms: first_at - at, read_again: read - PARTS[2] }
+        SimulatedAnswer { at, first_ms: first_at - at, recomputed_tokens: read - PART_TOKENS[2] }
     }
 
-    /// When the first token comes, and how many tokens were read for it.
+    /// Moment of the first token, and the number of tokens that the engine prefills for it.
     fn serve(&mut self, choice: &EngineChoice, prompt: &PromptShape, at: u64) -> (u64, u64) {
         let centre = self.upstreams.entry(&choice.upstream).unwrap().data_centre.clone();
-        let mut there = at as f64;
+        let mut ready_at = at as f64;
         let mut read = prompt.input.0;
         let sources = choice.fetch.as_ref().map(|fetch| fetch.sources.clone()).unwrap_or_default();
         for (part, source) in prompt.parts.iter().zip(sources) {
             let store = self.load.stores.iter().find(|store| Some(store.address) == source);
             let Some(store) = store else { break };
             let free = self.link_free.entry(store.address).or_insert(0.0);
-            let begin = free.max(there);
-            if begin - there > LONGEST_WAIT_MS {
-                there += LONGEST_WAIT_MS;
+            let begin = free.max(ready_at);
+            if begin - ready_at > MAX_LINK_WAIT_MS {
+                ready_at += MAX_LINK_WAIT_MS;
                 break;
             }
             let (from, until, times) = self.load.slow;
@@ -199,11 +201,11 @@
                 && (from as f64..until as f64).contains(&begin);
             let alone_ms = transfer_ms(store, part.tokens, engine_traits().token_bytes, &centre);
             *free = begin + if is_slow { alone_ms * times } else { alone_ms };
-            there = *free;
+            ready_at = *free;
             read -= part.tokens.0;
         }
         let engine = self.engine_free.entry(choice.upstream.to_string()).or_insert(0.0);
-        let begin = engine.max(there);
+        let begin = engine.max(ready_at);
         *engine = begin + read as f64 * 1_000.0 / PREFILL.0 as f64;
         ((*engine + FIXED_MS) as u64, read)
     }
--- a/crates/guava-serve/tests/support/mod.rs
+++ b/crates/guava-serve/tests/support/mod.rs
@@ -1,9 +1,9 @@
 //! Fixtures of the request path's tests.
 
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test file uses some of the fixtures")]
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
-pub mod played;
+pub mod load_simulation;
 pub mod scripted;
 pub mod served;
 
@@ -125,7 +125,7 @@
     PromptPart { id: id.into(), tokens: TokenCount(tokens) }
 }
 
-/// A prompt of a shared part and one of its own.
+/// A prompt of one shared part and one of its own.
 pub fn prompt(shared: &str, tokens: u64, own: u64) -> PromptShape {
     PromptShape {
         model: model(),
@@ -154,7 +154,7 @@
     }
 }
 
-/// The parts of a daemon with a name, which speaks to nobody.
+/// Shared state of a daemon that knows no peers.
 pub fn serve_context(name: &str) -> ServeContext {
     let identity = ServeIdentity {
         name: name.parse().unwrap(),
@@ -177,7 +177,7 @@
     ServeContext::new(identity, bounds, dialect)
 }
 
-/// What a daemon says of itself.
+/// Descriptor of a daemon in data centre `east`.
 pub fn note(name: &str) -> MemberDescriptor {
     MemberDescriptor {
         name: name.parse().unwrap(),
@@ -188,7 +188,7 @@
     }
 }
 
-/// What a daemon without duties has to tell.
+/// Summary of a daemon without background tasks.
 pub fn news(name: &str) -> OwnSummary {
     OwnSummary {
         member: note(name),
