--- a/crates/guava-serve/src/members/peer_exchange.rs
+++ b/crates/guava-serve/src/members/peer_exchange.rs
@@ -75,7 +75,7 @@
         clock_ms: context.upstream_clock_in(0, now),
         listed: if is_list_told { listed } else { Vec::new() },
         slow_links: context.links.borrow().slow_links(now),
-        speeds: context.speeds.borrow_mut().told(now),
+        speeds: context.speeds.borrow_mut().recent_own(now),
         ended: context.crash_gossip.borrow_mut().repeated(now),
         stops: told_stops(context, now),
         cleared: told_cleared(context),
@@ -129,7 +129,7 @@
     note: &MemberDescriptor,
     now: Moment,
 ) -> Vec<PeerMessage> {
-    let ends = context.crash_gossip.borrow_mut().take_fresh();
+    let ends = context.crash_gossip.borrow_mut().take_unsent();
     let message =
         |ended: Vec<CrashNotice>| PeerMessage { ended, ..PeerMessage::empty(note.clone()) };
     let mut messages: Vec<PeerMessage> = ends.into_iter().map(message).collect();
@@ -318,7 +318,7 @@
         apply_quarantine(context, stop, now);
     }
     if message.knows_quarantines {
-        context.quarantine_sync.set(QuarantineSync { is_known: true, told: now });
+        context.quarantine_sync.set(QuarantineSync { is_known: true, last_confirmed: now });
     }
     if message.is_immediate {
         for sent in &message.sent {
@@ -368,7 +368,7 @@
     let before = upstreams.newest_start(id.name()).and_then(|before| upstreams.entry(before));
     let address = before.map(|before| before.address);
     if upstreams.note_start(id) {
-        address.iter().for_each(|address| context.pool.forget(*address));
+        address.iter().for_each(|address| context.pool.close_idle(*address));
         log_event!(
             info,
             events::LIST_CHANGED,
@@ -423,7 +423,7 @@
             let address = entry.address;
             let found = upstreams.note_entry(entry);
             if found == ListChangeEffect::Restarted {
-                context.pool.forget(address);
+                context.pool.close_idle(address);
             }
             (id, found)
         }
--- a/crates/guava-serve/src/request/attempt.rs
+++ b/crates/guava-serve/src/request/attempt.rs
@@ -68,7 +68,7 @@
 impl Drop for WorkGuard {
     fn drop(&mut self) {
         let now = Moment::now();
-        self.context.work.borrow_mut().end(&self.ticket, now);
+        self.context.work.borrow_mut().note_finished(&self.ticket, now);
         if self.is_long {
             self.context.memory_budget.borrow_mut().dropped(self.ticket.number(), now);
         }
--- a/crates/guava-serve/src/request/send_gate.rs
+++ b/crates/guava-serve/src/request/send_gate.rs
@@ -105,7 +105,7 @@
 }
 
 fn is_cold(input: &GateInput<'_>, rule: ColdRule, entry: &UpstreamEntry, now: Moment) -> bool {
-    let returned = input.drains.returned(&entry.data_centre);
+    let returned = input.drains.undrained_since(&entry.data_centre);
     let has_rested = |returned| !Deadline::after(returned, rule.lasts_ms).passed(now);
     !entry.cold_until.passed(now) || returned.is_some_and(has_rested)
 }
--- a/crates/guava-serve/src/upstreams/connection_pool.rs
+++ b/crates/guava-serve/src/upstreams/connection_pool.rs
@@ -201,7 +201,7 @@
 
     /// Closes the idle connections to an address: whoever listened there has ended, and a request
     /// written to one of them would be lost, or believed to have run.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn close_idle(&self, address: SocketAddr) {
         self.idle.borrow_mut().remove(&address);
     }
 
--- a/crates/guava-serve/src/upstreams/crash_gossip.rs
+++ b/crates/guava-serve/src/upstreams/crash_gossip.rs
@@ -41,7 +41,7 @@
     }
 
     /// Takes what was not told yet, in pieces of a message each.
-    pub fn take_fresh(&mut self) -> Vec<Vec<CrashNotice>> {
+    pub fn take_unsent(&mut self) -> Vec<Vec<CrashNotice>> {
         in_messages(std::mem::take(&mut self.fresh))
     }
 
--- a/crates/guava-serve/src/upstreams/drain_table.rs
+++ b/crates/guava-serve/src/upstreams/drain_table.rs
@@ -50,7 +50,7 @@
 
     /// What follows from a read of all that is drained as of a position: what is known to be drained
     /// and was not read is taken back.
-    pub fn notices_of(&self, drained: &[DataCentre], as_of: u64) -> Vec<DrainNotice> {
+    pub fn notices_from_read(&self, drained: &[DataCentre], as_of: u64) -> Vec<DrainNotice> {
         let notice = |data_centre: &DataCentre, is_drained: bool| DrainNotice {
             data_centre: data_centre.clone(),
             as_of,
@@ -79,7 +79,7 @@
     }
 
     /// Since when a data centre is taken back, if it ever was drained.
-    pub fn returned(&self, data_centre: &DataCentre) -> Option<Moment> {
+    pub fn undrained_since(&self, data_centre: &DataCentre) -> Option<Moment> {
         let state = self.centres.get(data_centre).filter(|state| !state.is_drained)?;
         Some(state.changed)
     }
--- a/crates/guava-serve/src/upstreams/engine_speeds.rs
+++ b/crates/guava-serve/src/upstreams/engine_speeds.rs
@@ -54,7 +54,7 @@
     }
 
     /// What to tell peers.
-    pub fn told(&mut self, now: Moment) -> Vec<EngineSpeed> {
+    pub fn recent_own(&mut self, now: Moment) -> Vec<EngineSpeed> {
         self.own.retain(|(_, until)| !until.passed(now));
         self.own.iter().map(|(speed, _)| speed.clone()).collect()
     }
--- a/crates/guava-serve/src/upstreams/quarantine_record.rs
+++ b/crates/guava-serve/src/upstreams/quarantine_record.rs
@@ -8,7 +8,7 @@
     /// Which.
     pub request: RequestDigest,
     /// How often it has been stopped.
-    pub times: u32,
+    pub quarantine_count: u32,
 }
 
 /// When the records were last read, or told by a peer that knows them.
@@ -17,5 +17,5 @@
     /// Whether this daemon knows the records.
     pub is_known: bool,
     /// When a peer that knows them last spoke.
-    pub told: Moment,
+    pub last_confirmed: Moment,
 }
--- a/crates/guava-serve/src/upstreams/quarantine_task.rs
+++ b/crates/guava-serve/src/upstreams/quarantine_task.rs
@@ -38,7 +38,7 @@
     if !sight.is_known {
         return turn <= STANDBYS || now.millis_since(started) >= TOLD_MS;
     }
-    peers > 0 && now.millis_since(sight.told) >= ALONE_MS
+    peers > 0 && now.millis_since(sight.last_confirmed) >= ALONE_MS
 }
 
 /// Reads and writes the records of stopped requests, for ever.
@@ -102,9 +102,9 @@
         let sight = self.context.quarantine_sync.get();
         self.context.quarantine_sync.set(QuarantineSync { is_known: true, ..sight });
         for record in records {
-            self.written.insert(record.request, record.times);
-            let QuarantineRecord { request, times } = record;
-            if self.context.ledger.borrow_mut().note_record(request, times, now) {
+            self.written.insert(record.request, record.quarantine_count);
+            let QuarantineRecord { request, quarantine_count } = record;
+            if self.context.ledger.borrow_mut().note_record(request, quarantine_count, now) {
                 log_event!(warn, events::REQUEST_QUARANTINED, digest = request, source = "store");
             }
         }
@@ -117,12 +117,18 @@
         let known: Vec<QuarantineRecord> = {
             let ledger = self.context.ledger.borrow();
             let remembered = ledger.remembered();
-            remembered.map(|(request, times)| QuarantineRecord { request, times }).collect()
+            remembered
+                .map(|(request, quarantine_count)| QuarantineRecord { request, quarantine_count })
+                .collect()
         };
         for record in &known {
-            if self.written.get(&record.request).is_none_or(|times| *times < record.times) {
+            if self
+                .written
+                .get(&record.request)
+                .is_none_or(|quarantine_count| *quarantine_count < record.quarantine_count)
+            {
                 (self.port.write)(*record).await?;
-                self.written.insert(record.request, record.times);
+                self.written.insert(record.request, record.quarantine_count);
             }
         }
         let is_known = |request: &RequestDigest| known.iter().any(|one| one.request == *request);
--- a/crates/guava-serve/src/upstreams/upstream_crashes.rs
+++ b/crates/guava-serve/src/upstreams/upstream_crashes.rs
@@ -97,7 +97,7 @@
     let mut upstreams = context.upstreams.borrow_mut();
     let Some(address) = upstreams.entry(upstream).map(|entry| entry.address) else { return };
     upstreams.note_crashed(upstream, Deadline::after(now, ENDED_MS));
-    context.pool.forget(address);
+    context.pool.close_idle(address);
 }
 
 /// Takes in under which requests an upstream ended, as seen here or told by a peer; whether it is
--- a/crates/guava-serve/src/upstreams/upstream_table.rs
+++ b/crates/guava-serve/src/upstreams/upstream_table.rs
@@ -100,7 +100,7 @@
     /// Its entry is gone, but may come back: it lapsed while the list was away.
     Lapsed,
     /// It is gone.
-    Gone,
+    Removed,
 }
 
 impl ListChangeEffect {
@@ -114,7 +114,7 @@
             Self::Cold => "cold",
             Self::Leaving => "leaving",
             Self::Lapsed => "lapsed",
-            Self::Gone => "gone",
+            Self::Removed => "gone",
         }
     }
 }
@@ -252,7 +252,7 @@
             return ListChangeEffect::Lapsed;
         }
         self.drop_entry(id);
-        ListChangeEffect::Gone
+        ListChangeEffect::Removed
     }
 
     /// Takes in the whole list as of a revision: entries that are not in it are removed, unless a
--- a/crates/guava-serve/src/upstreams/work_table.rs
+++ b/crates/guava-serve/src/upstreams/work_table.rs
@@ -108,7 +108,7 @@
     }
 
     /// Notes that work is over, however it ended.
-    pub fn end(&mut self, ticket: &WorkTicket, now: Moment) {
+    pub fn note_finished(&mut self, ticket: &WorkTicket, now: Moment) {
         self.loads.finished(&ticket.upstream, ticket.number);
         if let Some(backlog) = self.backlogs.get_mut(&ticket.upstream) {
             backlog.remove(ticket.number, now);
--- a/crates/guava-serve/src/weights/order_task.rs
+++ b/crates/guava-serve/src/weights/order_task.rs
@@ -232,7 +232,7 @@
             return Ok(found);
         }
         if self.context.upstreams.borrow_mut().note_start(&told) {
-            self.context.pool.forget(address);
+            self.context.pool.close_idle(address);
             log_event!(info, events::LIST_CHANGED, upstream = told, change = "restarted");
         }
         Err(PortError::new(&format_args!("{told} answers for it")))
--- a/crates/guava-serve/tests/dispatch.rs
+++ b/crates/guava-serve/tests/dispatch.rs
@@ -382,7 +382,7 @@
         let frees = Rc::clone(&context);
         tokio::task::spawn_local(async move {
             tokio::time::sleep(Duration::from_millis(120)).await;
-            frees.work.borrow_mut().end(&running, Moment::now());
+            frees.work.borrow_mut().note_finished(&running, Moment::now());
         });
         let outcome = serve_request(&context, &Rc::new(config(1)), request).await;
         (read(outcome).await, begun.elapsed())
--- a/crates/guava-serve/tests/send_gate.rs
+++ b/crates/guava-serve/tests/send_gate.rs
@@ -283,12 +283,12 @@
     drains.note(&drain(5, true), START);
 
     // All that is drained, as of a later position: nothing.
-    for notice in drains.notices_of(&[], 9) {
+    for notice in drains.notices_from_read(&[], 9) {
         drains.note(&notice, later(10));
     }
 
     assert!(!drains.is_drained(&"east".parse().unwrap()));
-    assert_eq!(drains.returned(&"east".parse().unwrap()), Some(later(10)));
+    assert_eq!(drains.undrained_since(&"east".parse().unwrap()), Some(later(10)));
 }
 
 #[test]
--- a/crates/guava-serve/tests/support/played.rs
+++ b/crates/guava-serve/tests/support/played.rs
@@ -129,7 +129,7 @@
         for pending in self.pending.drain(..due) {
             let at = Moment(pending.first_at);
             self.work.started(&pending.work, at);
-            self.work.end(&pending.work, at);
+            self.work.note_finished(&pending.work, at);
             if let Some(fetch) = pending.fetch {
                 self.links.arrived(&fetch, at);
             }
--- a/crates/guava-serve/tests/upstream_ends.rs
+++ b/crates/guava-serve/tests/upstream_ends.rs
@@ -269,14 +269,14 @@
     turn: usize,
     is_due: bool,
 ) {
-    let sight = QuarantineSync { is_known, told: Moment(told) };
+    let sight = QuarantineSync { is_known, last_confirmed: Moment(told) };
 
     assert_eq!(is_read_due(sight, Moment(0), turn, 5, Moment(now)), is_due);
 }
 
 #[test]
 fn daemon_without_peers_reads_the_records_once() {
-    let sight = QuarantineSync { is_known: true, told: Moment(0) };
+    let sight = QuarantineSync { is_known: true, last_confirmed: Moment(0) };
 
     assert!(!is_read_due(sight, Moment(0), 0, 0, Moment(60_000)));
 }
@@ -345,7 +345,10 @@
     keep_until(&before, &store, || !store.records.borrow().is_empty());
     keep_until(&after, &store, || is_stopped(&after, CRASHING));
 
-    assert_eq!(*store.records.borrow(), [QuarantineRecord { request: CRASHING, times: 1 }]);
+    assert_eq!(
+        *store.records.borrow(),
+        [QuarantineRecord { request: CRASHING, quarantine_count: 1 }]
+    );
     assert!(after.quarantine_sync.get().is_known);
 }
 
@@ -367,7 +370,7 @@
 fn record_of_a_request_that_was_cleared_is_dropped() {
     let store = Rc::new(PlayedStore::default());
     let context = alone();
-    store.records.borrow_mut().push(QuarantineRecord { request: CONCURRENT, times: 1 });
+    store.records.borrow_mut().push(QuarantineRecord { request: CONCURRENT, quarantine_count: 1 });
     let (clearing, stored) = (Rc::clone(&context), Rc::clone(&store));
 
     keep_until(&context, &store, move || {
--- a/crates/guava-serve/tests/upstream_table.rs
+++ b/crates/guava-serve/tests/upstream_table.rs
@@ -45,7 +45,7 @@
 
     let change = table.note_removed(&id("a"), Moment(60_000));
 
-    assert_eq!(change, ListChangeEffect::Gone);
+    assert_eq!(change, ListChangeEffect::Removed);
     assert!(!table.may_send(&id("a")));
 }
 
@@ -79,7 +79,7 @@
 
     let change = table.note_removed(&id("a"), Moment(20_001));
 
-    assert_eq!(change, ListChangeEffect::Gone);
+    assert_eq!(change, ListChangeEffect::Removed);
 }
 
 #[test]
@@ -89,7 +89,7 @@
 
     let changes = table.note_list(entries, ListRevision(10), Moment(60_000));
 
-    assert_eq!(changes, [(id("a"), ListChangeEffect::Gone), (id("c"), ListChangeEffect::Added)]);
+    assert_eq!(changes, [(id("a"), ListChangeEffect::Removed), (id("c"), ListChangeEffect::Added)]);
     assert_eq!(serving(&table), ["b", "c"]);
 }
 
