--- a/crates/guava-serve/src/upstreams.rs
+++ b/crates/guava-serve/src/upstreams.rs
@@ -1,4 +1,5 @@
-//! What is known of upstreams: the list, their work and speed, their ends, and connections to them.
+//! State of upstreams: the list, their load and speed, announcements, drains and crashes, and the
+//! connections to them.
 
 pub(crate) mod announcement_watch;
 pub(crate) mod broken_send_table;
--- a/crates/guava-serve/src/upstreams/announcement_watch.rs
+++ b/crates/guava-serve/src/upstreams/announcement_watch.rs
@@ -1,4 +1,4 @@
-//! Takes in what upstreams say of themselves, and has the other daemons told.
+//! Applies upstream announcements from answers and from peers, and selects those to send to peers.
 
 use crate::events;
 use crate::serve_context::ServeContext;
@@ -7,10 +7,12 @@
 use guava_types::{MemberName, Moment, UpstreamId};
 use std::fmt::Display;
 
-/// Limits, and leaving upstreams, told in one message at most, of some thirty bytes each.
-const MOST_TOLD: usize = 48;
+/// Largest number of limits in one message, and likewise of leaving upstreams; each takes about
+/// thirty bytes.
+const MAX_NOTICES_PER_MESSAGE: usize = 48;
 
-/// Takes in what an answer says of its upstream, to a request that was sent at some moment.
+/// Applies the announcements in an upstream's answer to a request that was sent at `sent`. Urgent
+/// changes are scheduled for an immediate message to the peers.
 pub fn note_announcements(
     context: &ServeContext,
     upstream: &UpstreamId,
@@ -18,57 +20,58 @@
     sent: Moment,
 ) {
     let now = Moment::now();
-    let spread = |until| jitter_backoff(until, now, rand::random());
-    let backoff_until = announcements.backoff_until.map(spread);
+    let jitter = |until| jitter_backoff(until, now, rand::random());
+    let backoff_until = announcements.backoff_until.map(jitter);
     let announcements = UpstreamAnnouncements { backoff_until, ..announcements.clone() };
-    let news = context.announcements.borrow_mut().note_answer(upstream, &announcements, sent, now);
-    for news in &news {
-        log_announcement(context, upstream, news, &"answer", now, now);
-        if news.is_urgent() {
+    let changes =
+        context.announcements.borrow_mut().note_answer(upstream, &announcements, sent, now);
+    for change in &changes {
+        log_announcement(context, upstream, change, &"answer", now, now);
+        if change.is_urgent() {
             context.announcements_due.borrow_mut().push(upstream.clone());
             context.message_due.notify_one();
         }
     }
 }
 
-/// Notes that an upstream gets a request, after a rest if it had asked for one.
+/// Notes a send to an upstream; the first one after a back-off is logged as its end.
 pub fn note_send(context: &ServeContext, upstream: &UpstreamId, now: Moment) {
     context.sends.borrow_mut().note(upstream, now);
     if context.announcements.borrow_mut().note_send(upstream) {
-        log_word(context, upstream, "rest-over", "", &"clock", 0);
+        log_kind(context, upstream, "rest-over", "", &"clock", 0);
     }
 }
 
-/// Takes in what another daemon knows of an upstream's limit.
+/// Applies an upstream's limit that a peer reported.
 pub fn apply_limit(context: &ServeContext, notice: &LimitNotice, source: &MemberName, now: Moment) {
-    let news = context.announcements.borrow_mut().note_notice(notice, now);
-    news.iter().for_each(|news| {
-        log_announcement(context, &notice.upstream, news, source, notice.as_of, now)
+    let changes = context.announcements.borrow_mut().note_notice(notice, now);
+    changes.iter().for_each(|change| {
+        log_announcement(context, &notice.upstream, change, source, notice.as_of, now)
     });
 }
 
-/// Takes in that an upstream leaves, as another daemon knows.
+/// Applies that an upstream is leaving, as a peer reported.
 pub fn apply_leaving(
     context: &ServeContext,
     upstream: &UpstreamId,
     source: &MemberName,
     now: Moment,
 ) {
-    let news = context.announcements.borrow_mut().note_leaving(upstream, now);
-    news.iter().for_each(|news| log_announcement(context, upstream, news, source, now, now));
+    let changes = context.announcements.borrow_mut().note_leaving(upstream, now);
+    changes.iter().for_each(|change| log_announcement(context, upstream, change, source, now, now));
 }
 
-/// What other daemons are told of upstreams' words.
+/// Upstream announcements in one message to the peers.
 #[derive(Clone, Debug, Default)]
 pub struct AnnouncementBatch {
-    /// Limits, and ends of limits.
+    /// Limits that hold, and limits that were withdrawn.
     pub limits: Vec<LimitNotice>,
-    /// Upstreams that leave.
+    /// Upstreams that are leaving.
     pub leaving: Vec<UpstreamId>,
 }
 
-/// What upstreams have just said, for other daemons at once; told with the next summary only, sends to
-/// an upstream in need would go on until then.
+/// Takes the urgent announcements since the last call, for an immediate message. If they waited for
+/// the next summary, peers would go on sending to an overloaded upstream until then.
 pub fn urgent_announcements(context: &ServeContext) -> AnnouncementBatch {
     let due = std::mem::take(&mut *context.announcements_due.borrow_mut());
     let announcements = context.announcements.borrow();
@@ -78,21 +81,21 @@
     }
 }
 
-/// The words that a summary tells: nearly always none.
+/// Announcements that a summary repeats; nearly always none.
 pub fn summary_announcements(context: &ServeContext, now: Moment) -> AnnouncementBatch {
     let announcements = context.announcements.borrow();
     AnnouncementBatch {
-        limits: some_of(announcements.limit_notices(now).collect()),
-        leaving: some_of(announcements.recently_leaving(now).cloned().collect()),
+        limits: message_section(announcements.limit_notices(now).collect()),
+        leaving: message_section(announcements.recently_leaving(now).cloned().collect()),
     }
 }
 
-/// As many as one message takes; where there are more, others each time.
-fn some_of<T>(mut items: Vec<T>) -> Vec<T> {
-    if items.len() > MOST_TOLD {
+/// As many items as fit in one message; if there are more, a section that begins at random.
+fn message_section<T>(mut items: Vec<T>) -> Vec<T> {
+    if items.len() > MAX_NOTICES_PER_MESSAGE {
         let from = rand::random::<u64>() as usize % items.len();
         items.rotate_left(from);
-        items.truncate(MOST_TOLD);
+        items.truncate(MAX_NOTICES_PER_MESSAGE);
     }
     items
 }
@@ -100,29 +103,29 @@
 fn log_announcement(
     context: &ServeContext,
     upstream: &UpstreamId,
-    news: &AnnouncementChange,
+    change: &AnnouncementChange,
     source: &impl Display,
     as_of: Moment,
     now: Moment,
 ) {
     let age_ms = now.millis_since(as_of);
-    log_word(context, upstream, news.kind(), &news.value(now), source, age_ms);
+    log_kind(context, upstream, change.kind(), &change.value(now), source, age_ms);
 }
 
-fn log_word(
+fn log_kind(
     context: &ServeContext,
     upstream: &UpstreamId,
-    word: &'static str,
+    kind: &'static str,
     value: &str,
     source: &impl Display,
     age_ms: u64,
 ) {
-    context.metrics.count_announcement(word);
+    context.metrics.count_announcement(kind);
     log_event!(
         info,
         events::WORD_LEARNT,
         upstream = upstream,
-        word = word,
+        word = kind,
         value = value,
         source = source,
         age_ms = age_ms
--- a/crates/guava-serve/src/upstreams/broken_send_table.rs
+++ b/crates/guava-serve/src/upstreams/broken_send_table.rs
@@ -1,44 +1,44 @@
-//! Sends that broke off, until it is known whether their upstream ended.
+//! Interrupted sends, kept until it is known whether their upstream crashed.
 //!
-//! A connection that breaks off says little: upstreams cut connections, spoil answers and reset what
-//! is too much for them, and go on. One that has ended refuses new connections at its address. So
-//! the first send that breaks off has somebody look; those that break off meanwhile wait for what is
-//! found.
+//! An interrupted send is no proof of a crash: upstreams close connections, corrupt answers and
+//! reset connections under overload, and go on running. An upstream that crashed refuses new
+//! connections at its address. So the first interrupted send starts a check of the address, and
+//! later ones are collected until its result is known.
 
 use guava_types::{FastMap, Moment, RequestDigest, UpstreamId};
 
-/// Requests whose sends broke off at an upstream.
+/// Interrupted sends at one upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BrokenSends {
-    /// When the first did.
+pub struct InterruptedSends {
+    /// When the first was interrupted.
     pub since: Moment,
-    /// Which.
+    /// Digests of the requests, in the order of interruption.
     pub requests: Vec<RequestDigest>,
 }
 
-/// Requests whose sends broke off, by upstream.
+/// Interrupted sends by upstream.
 #[derive(Debug, Default)]
 pub struct BrokenSendTable {
-    broken: FastMap<UpstreamId, BrokenSends>,
+    by_upstream: FastMap<UpstreamId, InterruptedSends>,
 }
 
 impl BrokenSendTable {
-    /// Notes a send that broke off after the upstream may have begun to run the request; whether it
-    /// is the first there, and somebody must look whether the upstream has ended.
+    /// Notes an interrupted send; returns whether it is the first at this upstream, so that the
+    /// caller must check whether the upstream crashed.
     pub fn note_interrupted(
         &mut self,
         upstream: &UpstreamId,
         request: RequestDigest,
         now: Moment,
     ) -> bool {
-        let nothing = || BrokenSends { since: now, requests: Vec::new() };
-        let sends = self.broken.entry(upstream.clone()).or_insert_with(nothing);
+        let empty = || InterruptedSends { since: now, requests: Vec::new() };
+        let sends = self.by_upstream.entry(upstream.clone()).or_insert_with(empty);
         sends.requests.push(request);
         sends.requests.len() == 1
     }
 
-    /// Takes what broke off at an upstream, once it is known whether it has ended.
-    pub fn take(&mut self, upstream: &UpstreamId) -> Option<BrokenSends> {
-        self.broken.remove(upstream)
+    /// Takes the interrupted sends at an upstream, once it is known whether it crashed.
+    pub fn take(&mut self, upstream: &UpstreamId) -> Option<InterruptedSends> {
+        self.by_upstream.remove(upstream)
     }
 }
--- a/crates/guava-serve/src/upstreams/connection_pool.rs
+++ b/crates/guava-serve/src/upstreams/connection_pool.rs
@@ -1,9 +1,9 @@
-//! Connections to upstreams, and whether one may be used again.
+//! Connections to upstreams, and the rule by which one is reused.
 //!
-//! Whether a connection is reused is a decision here, not a library's: a request that may run once
-//! must not go out on a connection that its upstream may be closing at the same moment. After a
-//! reset nobody could tell whether it ran. So such requests always get a connection of their own,
-//! and others only one that is well inside its idle limit.
+//! The rule is implemented here and not left to a library, since a request that may run only once
+//! must not be sent on a connection that its upstream may be closing at the same moment: after a
+//! reset it is unknown whether the request ran. So such requests always get a new connection, and
+//! others reuse one only well within its idle limit.
 
 use bytes::Bytes;
 use guava_types::{Deadline, FastMap, Moment};
@@ -21,44 +21,44 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// Time for a connection to be established, in milliseconds. Within a region it takes two round
-/// trips of some milliseconds; a machine without power never answers, and a lost opening packet is
-/// sent again after a second only, by when another try has long succeeded.
-const CONNECT_MS: u64 = 250;
-/// Part of an upstream's announced idle limit within which a connection is used again.
-const IDLE_PART: f64 = 0.5;
-/// Idle limit of upstreams that announce none, in milliseconds: announcements are in whole
-/// seconds, so a shorter limit can't be announced.
-const UNANNOUNCED_IDLE_MS: u64 = 400;
-/// Idle connections kept for one address.
-const KEPT_IDLE: usize = 8;
-/// Largest head of an upstream's answer, in bytes.
-const HEAD_BYTES: usize = 32_768;
-
-/// Why an exchange failed.
+/// Timeout for establishing a connection, in milliseconds. Within a region this takes two round
+/// trips of some milliseconds. A machine without power never answers, and a lost SYN packet is sent
+/// again only after a second, by which time another attempt has long succeeded.
+const CONNECT_TIMEOUT_MS: u64 = 250;
+/// Fraction of an upstream's announced idle limit within which a connection is reused.
+const IDLE_LIMIT_FRACTION: f64 = 0.5;
+/// Idle limit assumed for upstreams that announce none, in milliseconds. Limits are announced in
+/// whole seconds, so an upstream with a limit below one second can't announce it.
+const DEFAULT_IDLE_LIMIT_MS: u64 = 400;
+/// Largest number of idle connections to one address.
+const MAX_IDLE_CONNECTIONS: usize = 8;
+/// Largest size of an answer's head, in bytes.
+const MAX_HEAD_BYTES: usize = 32_768;
+
+/// Failure of an exchange, by whether the request may have run.
 #[derive(Debug, Snafu)]
 pub enum ExchangeError {
-    /// No byte of the request was written: it did not run.
+    /// No byte of the request was written, so it did not run.
     #[snafu(display("not sent to {address}: {reason}"))]
     NotSent {
-        /// Where to.
+        /// Address that it was for.
         address: SocketAddr,
-        /// Why.
+        /// Cause, as the system or the HTTP library reported it.
         reason: Box<str>,
-        /// Whether nobody listens there.
+        /// Whether the address refused the connection, so that no process listens there.
         is_refused: bool,
     },
-    /// The request was written at least in part, and no answer came: it may have run.
+    /// The request was written at least in part and no answer arrived, so it may have run.
     #[snafu(display("no answer from {address}: {reason}"))]
     NoAnswer {
-        /// Where from.
+        /// Address that it was sent to.
         address: SocketAddr,
-        /// Why.
+        /// Cause, as the HTTP library reported it.
         reason: Box<str>,
     },
 }
 
-/// The task that drives a connection; the connection closes when this is dropped.
+/// Task that drives a connection; dropping it closes the connection.
 #[derive(Debug)]
 struct ConnectionDriver(JoinHandle<()>);
 
@@ -68,7 +68,7 @@
     }
 }
 
-/// An open connection.
+/// An open connection that carries one request at a time.
 #[derive(Debug)]
 pub struct UpstreamConnection {
     address: SocketAddr,
@@ -82,7 +82,7 @@
     usable_until: Deadline,
 }
 
-/// Open connections that wait for their next request.
+/// Idle connections by address, and the means to open new ones.
 #[derive(Debug)]
 pub struct ConnectionPool {
     source: Option<IpAddr>,
@@ -90,7 +90,7 @@
 }
 
 impl UpstreamConnection {
-    /// Sends a request and waits for the answer's head.
+    /// Sends a request and waits for the answer's head, without a timeout.
     pub async fn exchange(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -112,12 +112,13 @@
 }
 
 impl ConnectionPool {
-    /// A pool whose connections leave from an address of this machine.
+    /// An empty pool; its connections are bound to `source`, or to an address that the system
+    /// chooses.
     pub fn new(source: Option<IpAddr>) -> Self {
         Self { source, idle: RefCell::new(FastMap::default()) }
     }
 
-    /// An idle connection, if one is surely open, else a new one.
+    /// An idle connection if one is open and within its idle limit, else a new one.
     pub async fn reuse_or_open(
         &self,
         address: SocketAddr,
@@ -131,8 +132,8 @@
     fn take_idle(&self, address: SocketAddr) -> Option<UpstreamConnection> {
         let now = Moment::now();
         let mut idle = self.idle.borrow_mut();
-        let waiting = idle.get_mut(&address)?;
-        while let Some(candidate) = waiting.pop() {
+        let connections = idle.get_mut(&address)?;
+        while let Some(candidate) = connections.pop() {
             let sender = &candidate.connection.sender;
             if !candidate.usable_until.passed(now) && !sender.is_closed() && sender.is_ready() {
                 return Some(candidate.connection);
@@ -141,14 +142,15 @@
         None
     }
 
-    /// A new connection.
+    /// Opens a new connection; fails after `CONNECT_TIMEOUT_MS`.
     pub async fn open(&self, address: SocketAddr) -> Result<UpstreamConnection, ExchangeError> {
         let not_sent = |reason: String| ExchangeError::NotSent {
             address,
             reason: reason.into(),
             is_refused: false,
         };
-        let stream = timeout(Duration::from_millis(CONNECT_MS), self.connect(address)).await;
+        let stream =
+            timeout(Duration::from_millis(CONNECT_TIMEOUT_MS), self.connect(address)).await;
         let stream = match stream {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) => {
@@ -156,21 +158,25 @@
                 let reason = error.to_string().into();
                 return Err(ExchangeError::NotSent { address, reason, is_refused });
             }
-            Err(_) => return Err(not_sent(format!("no connection within {CONNECT_MS} ms"))),
+            Err(_) => return Err(not_sent(format!("no connection in {CONNECT_TIMEOUT_MS} ms"))),
         };
-        let handshake =
-            http1::Builder::new().max_buf_size(HEAD_BYTES).handshake(TokioIo::new(stream)).await;
+        let handshake = http1::Builder::new()
+            .max_buf_size(MAX_HEAD_BYTES)
+            .handshake(TokioIo::new(stream))
+            .await;
         let (sender, connection) = handshake.map_err(|error| not_sent(error.to_string()))?;
         let driver = tokio::task::spawn_local(async move {
-            // How the connection ends is seen by the exchange on it.
+            // Errors are reported by the exchange on the connection.
             drop(connection.await);
         });
         Ok(UpstreamConnection { address, sender, _driver: ConnectionDriver(driver) })
     }
 
-    /// Whether somebody listens at an address; nothing if that can't be told.
+    /// Whether a process listens at an address; `None` if the connection neither succeeds nor is
+    /// refused.
     pub async fn is_listening(&self, address: SocketAddr) -> Option<bool> {
-        let connected = timeout(Duration::from_millis(CONNECT_MS), self.connect(address)).await;
+        let connected =
+            timeout(Duration::from_millis(CONNECT_TIMEOUT_MS), self.connect(address)).await;
         match connected {
             Ok(Ok(_)) => Some(true),
             Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => Some(false),
@@ -188,31 +194,32 @@
         Ok(stream)
     }
 
-    /// Keeps a connection whose last answer was read to its end, if its upstream allows.
+    /// Keeps a connection for reuse until a fraction of its idle limit has passed, unless enough
+    /// are kept. Its last answer must have been read completely.
     pub fn keep(&self, connection: UpstreamConnection, announced_idle_ms: Option<u64>) {
-        let limit = announced_idle_ms.unwrap_or(UNANNOUNCED_IDLE_MS) as f64 * IDLE_PART;
+        let limit = announced_idle_ms.unwrap_or(DEFAULT_IDLE_LIMIT_MS) as f64 * IDLE_LIMIT_FRACTION;
         let usable_until = Deadline::in_millis(limit as u64);
         let mut idle = self.idle.borrow_mut();
-        let waiting = idle.entry(connection.address).or_default();
-        if waiting.len() < KEPT_IDLE && !connection.sender.is_closed() {
-            waiting.push(IdleConnection { connection, usable_until });
+        let connections = idle.entry(connection.address).or_default();
+        if connections.len() < MAX_IDLE_CONNECTIONS && !connection.sender.is_closed() {
+            connections.push(IdleConnection { connection, usable_until });
         }
     }
 
-    /// Closes the idle connections to an address: whoever listened there has ended, and a request
-    /// written to one of them would be lost, or believed to have run.
+    /// Closes the idle connections to an address whose process exited: a request written to one of
+    /// them would be lost, or would count as possibly run.
     pub fn close_idle(&self, address: SocketAddr) {
         self.idle.borrow_mut().remove(&address);
     }
 
-    /// Closes idle connections that may not be used any more.
+    /// Closes idle connections that may no longer be reused.
     pub fn sweep(&self) {
         let now = Moment::now();
-        self.idle.borrow_mut().retain(|_, waiting| {
-            waiting.retain(|idle| {
+        self.idle.borrow_mut().retain(|_, connections| {
+            connections.retain(|idle| {
                 !idle.usable_until.passed(now) && !idle.connection.sender.is_closed()
             });
-            !waiting.is_empty()
+            !connections.is_empty()
         });
     }
 }
--- a/crates/guava-serve/src/upstreams/crash_gossip.rs
+++ b/crates/guava-serve/src/upstreams/crash_gossip.rs
@@ -1,79 +1,81 @@
-//! What this daemon tells the others of upstreams' ends.
+//! Crash notices that this daemon sends to its peers.
 //!
-//! Each end is told at once, and again with the summaries of the next two seconds: a datagram that is
-//! lost must not hide what a request has ended until it has ended more. Stopped requests are told
-//! with every summary, so that daemons that start, or were cut off, know them within a second.
+//! Each notice is sent at once, and repeated in the summaries of the next two seconds, so that a
+//! lost datagram doesn't hide the evidence against a request until it has crashed more upstreams.
+//! Quarantines are part of every summary, so that daemons that start, or were cut off, know them
+//! within a second.
 
 use crate::upstreams::crash_notice::CrashNotice;
 use guava_policy::ClearNotice;
 use guava_types::{Deadline, Moment};
 
-/// For how long an end is told again, in milliseconds: two summaries to other data centres.
-const TOLD_MS: u64 = 2_200;
-/// Requests told in one message at most, of 18 bytes each: with all else that it holds it stays one
-/// datagram.
-const MOST_REQUESTS: usize = 80;
-/// Ends remembered for telling at most.
-const MOST_ENDS: usize = 128;
+/// For how long a notice is repeated, in milliseconds: two summaries to remote data centres.
+const REPEAT_MS: u64 = 2_200;
+/// Largest number of requests in one message, at 18 bytes each, so that the message with its other
+/// contents fits into one datagram.
+const MAX_REQUESTS_PER_MESSAGE: usize = 80;
+/// Largest number of notices that are repeated.
+const MAX_REPEATED_NOTICES: usize = 128;
 
-/// Ends to tell.
+/// Notices of crashes that are to be sent, and to be repeated.
 #[derive(Debug, Default)]
 pub struct CrashGossip {
-    fresh: Vec<CrashNotice>,
+    unsent: Vec<CrashNotice>,
     recent: Vec<(CrashNotice, Deadline)>,
 }
 
 impl CrashGossip {
-    /// Notes an end to be told.
+    /// Adds a notice to be sent; if too many are repeated, the oldest no longer is.
     pub fn note_crash(&mut self, notice: CrashNotice, now: Moment) {
-        if self.recent.len() >= MOST_ENDS {
+        if self.recent.len() >= MAX_REPEATED_NOTICES {
             self.recent.remove(0);
         }
-        self.recent.push((notice.clone(), Deadline::after(now, TOLD_MS)));
-        self.fresh.push(notice);
+        self.recent.push((notice.clone(), Deadline::after(now, REPEAT_MS)));
+        self.unsent.push(notice);
     }
 
-    /// Forgets what a request was held for until it was cleared: that is not told any more.
-    pub fn forget(&mut self, cleared: ClearNotice) {
-        let told = self.fresh.iter_mut().chain(self.recent.iter_mut().map(|(notice, _)| notice));
-        let before = told.filter(|notice| notice.at <= cleared.at);
+    /// Removes a cleared request from the notices of crashes up to its clearance.
+    pub fn remove_cleared(&mut self, cleared: ClearNotice) {
+        let notices =
+            self.unsent.iter_mut().chain(self.recent.iter_mut().map(|(notice, _)| notice));
+        let before = notices.filter(|notice| notice.at <= cleared.at);
         before.for_each(|notice| notice.requests.retain(|other| *other != cleared.request));
     }
 
-    /// Takes what was not told yet, in pieces of a message each.
+    /// Takes the notices that were not sent yet, grouped by message.
     pub fn take_unsent(&mut self) -> Vec<Vec<CrashNotice>> {
-        in_messages(std::mem::take(&mut self.fresh))
+        group_by_message(std::mem::take(&mut self.unsent))
     }
 
-    /// What a summary repeats: the newest ends.
+    /// Notices that a summary repeats: the newest ones that fit into a message.
     pub fn repeated(&mut self, now: Moment) -> Vec<CrashNotice> {
         self.recent.retain(|(_, until)| !until.passed(now));
         let newest = self.recent.iter().rev().map(|(notice, _)| notice.clone()).collect();
-        in_messages(newest).into_iter().next().unwrap_or_default()
+        group_by_message(newest).into_iter().next().unwrap_or_default()
     }
 }
 
-/// Ends in as many messages as they need.
-fn in_messages(notices: Vec<CrashNotice>) -> Vec<Vec<CrashNotice>> {
+/// Groups notices into as few messages as their order allows; long ones are split.
+fn group_by_message(notices: Vec<CrashNotice>) -> Vec<Vec<CrashNotice>> {
     let mut messages: Vec<Vec<CrashNotice>> = Vec::new();
-    let mut room = 0;
+    let mut capacity = 0;
     for notice in notices {
-        for requests in notice.requests.chunks(MOST_REQUESTS) {
+        for requests in notice.requests.chunks(MAX_REQUESTS_PER_MESSAGE) {
             let piece = CrashNotice {
                 upstream: notice.upstream.clone(),
                 at: notice.at,
                 requests: requests.to_vec(),
             };
-            // An upstream's id takes about as much as two digests.
+            // An upstream's id takes about as many bytes as two digests.
             let size = requests.len() + 2;
-            match messages.last_mut().filter(|_| room >= size) {
+            match messages.last_mut().filter(|_| capacity >= size) {
                 Some(message) => message.push(piece),
                 None => {
                     messages.push(vec![piece]);
-                    room = MOST_REQUESTS + 2;
+                    capacity = MAX_REQUESTS_PER_MESSAGE + 2;
                 }
             }
-            room = room.saturating_sub(size);
+            capacity = capacity.saturating_sub(size);
         }
     }
     messages
--- a/crates/guava-serve/src/upstreams/crash_notice.rs
+++ b/crates/guava-serve/src/upstreams/crash_notice.rs
@@ -1,14 +1,14 @@
-//! What daemons tell each other of an upstream that ended.
+//! The notice of an upstream's crash that daemons exchange.
 
 use guava_types::{Moment, RequestDigest, UpstreamId};
 
-/// An upstream's end, as daemons tell each other.
+/// A crash of an upstream, with the sender's requests that were in flight there.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CrashNotice {
-    /// Which start of which upstream.
+    /// Id of the start that crashed.
     pub upstream: UpstreamId,
-    /// When it ended; as an age between daemons.
+    /// When it crashed; messages carry it as an age.
     pub at: Moment,
-    /// The speaker's requests that broke off with it.
+    /// Digests of the sender's requests that the crash interrupted.
     pub requests: Vec<RequestDigest>,
 }
--- a/crates/guava-serve/src/upstreams/drain_table.rs
+++ b/crates/guava-serve/src/upstreams/drain_table.rs
@@ -1,23 +1,24 @@
-//! Data centres whose upstreams are to get nothing, by the operator's word.
+//! Data centres that the operator drained; their upstreams get no new requests.
 //!
-//! A drain travels as a change of the configuration does. It is a state as of a position in the
-//! operator's log, and the word of the highest position holds, whoever brings it: a read, or a peer
-//! for a daemon that can't reach the log. Runs that are under way end in peace.
+//! A drain is distributed like a configuration change: as the state at a position in the operator's
+//! log. The state of the highest position applies, whether this daemon read it from the log or a
+//! peer reported it to a daemon that can't reach the log. Requests in flight run to completion.
 //!
-//! Upstreams of a data centre that is taken back have rested, and count as cold from the moment at
-//! which this daemon hears of it; filled at once by all daemons, they would end. A daemon that has
-//! just started can't tell how long ago that was, and takes it for now.
+//! When a data centre is undrained, its upstreams count as cold from the moment at which this
+//! daemon learns of it, since they would crash if all daemons sent them their full load at once. A
+//! daemon that has just started can't tell how long ago the data centre was undrained, and assumes
+//! now.
 
 use guava_types::{DataCentre, FastMap, Moment};
 
-/// Whether a data centre is drained, as daemons tell each other.
+/// Whether a data centre is drained, as exchanged between daemons.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DrainNotice {
-    /// Which.
+    /// The data centre.
     pub data_centre: DataCentre,
-    /// Position in the operator's log up to which this is known.
+    /// Position in the operator's log as of which this state holds.
     pub as_of: u64,
-    /// Whether its upstreams are to get nothing.
+    /// Whether its upstreams get no new requests.
     pub is_drained: bool,
 }
 
@@ -28,14 +29,15 @@
     changed: Moment,
 }
 
-/// The data centres that were ever drained.
+/// State of each data centre that was drained at least once.
 #[derive(Debug, Default)]
 pub struct DrainTable {
     centres: FastMap<DataCentre, CentreState>,
 }
 
 impl DrainTable {
-    /// Takes a word in; whether it changes anything.
+    /// Applies a notice unless a state of the same or a later position is known. Returns whether
+    /// the data centre was drained or undrained by it.
     pub fn note(&mut self, notice: &DrainNotice, now: Moment) -> bool {
         let known = self.centres.get(&notice.data_centre);
         if known.is_some_and(|known| known.as_of >= notice.as_of) {
@@ -48,22 +50,23 @@
         is_change
     }
 
-    /// What follows from a read of all that is drained as of a position: what is known to be drained
-    /// and was not read is taken back.
+    /// Notices that follow from a complete read of the drained data centres as of a position. Those
+    /// known as drained and missing from the read are undrained.
     pub fn notices_from_read(&self, drained: &[DataCentre], as_of: u64) -> Vec<DrainNotice> {
         let notice = |data_centre: &DataCentre, is_drained: bool| DrainNotice {
             data_centre: data_centre.clone(),
             as_of,
             is_drained,
         };
-        let is_gone = |(centre, state): &(&DataCentre, &CentreState)| {
+        let is_undrained = |(centre, state): &(&DataCentre, &CentreState)| {
             state.is_drained && !drained.contains(centre)
         };
-        let gone = self.centres.iter().filter(is_gone).map(|(centre, _)| notice(centre, false));
-        drained.iter().map(|centre| notice(centre, true)).chain(gone).collect()
+        let undrained =
+            self.centres.iter().filter(is_undrained).map(|(centre, _)| notice(centre, false));
+        drained.iter().map(|centre| notice(centre, true)).chain(undrained).collect()
     }
 
-    /// All that is known, for peers.
+    /// State of all data centres in the table, for the peers.
     pub fn notices(&self) -> Vec<DrainNotice> {
         let notice = |(data_centre, state): (&DataCentre, &CentreState)| DrainNotice {
             data_centre: data_centre.clone(),
@@ -73,12 +76,13 @@
         self.centres.iter().map(notice).collect()
     }
 
-    /// Whether a data centre's upstreams are to get nothing.
+    /// Whether a data centre's upstreams get no new requests.
     pub fn is_drained(&self, data_centre: &DataCentre) -> bool {
         self.centres.get(data_centre).is_some_and(|state| state.is_drained)
     }
 
-    /// Since when a data centre is taken back, if it ever was drained.
+    /// When this daemon learnt that a data centre was undrained; `None` if it is drained or never
+    /// was.
     pub fn undrained_since(&self, data_centre: &DataCentre) -> Option<Moment> {
         let state = self.centres.get(data_centre).filter(|state| !state.is_drained)?;
         Some(state.changed)
--- a/crates/guava-serve/src/upstreams/http_call.rs
+++ b/crates/guava-serve/src/upstreams/http_call.rs
@@ -1,4 +1,5 @@
-//! A call with a short answer that is read whole: to stores, and to upstreams beside requests.
+//! Calls whose short answer is read completely: to stores, and to upstreams for other purposes than
+//! customers' requests.
 
 use crate::arrival::until;
 use crate::upstreams::connection_pool::{ConnectionPool, ExchangeError};
@@ -10,39 +11,39 @@
 use snafu::Snafu;
 use std::net::SocketAddr;
 
-/// Why a call gave nothing.
+/// Failure of a call.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum CallError {
-    /// No connection or no answer.
+    /// The connection failed, or no answer arrived on it.
     #[snafu(display("{source}"), context(false))]
     NoAnswer {
-        /// Why.
+        /// Failure of the exchange.
         source: ExchangeError,
     },
-    /// No answer in time.
-    #[snafu(display("no answer in time"))]
-    Late,
-    /// The other side asked for rest, so the call is not made.
-    #[snafu(display("it asked for rest"))]
+    /// The deadline passed before the complete answer arrived.
+    #[snafu(display("no complete answer before the deadline"))]
+    TimedOut,
+    /// The call was not made, since the server had asked for a back-off.
+    #[snafu(display("not called: the server asked for a back-off"))]
     BackingOff,
-    /// The answer broke off.
-    #[snafu(display("the answer broke off"))]
-    Broken,
+    /// The connection broke while the answer's body was read.
+    #[snafu(display("connection broken while reading the answer's body"))]
+    Interrupted,
 }
 
-/// A call's answer.
+/// Complete answer to a call, of any status.
 #[derive(Debug)]
 pub struct CallAnswer {
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Head.
+    /// HTTP headers.
     pub headers: HeaderMap,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
-/// A call's request.
+/// Builds the request of a call, with its `Host` header.
 pub fn call_request(
     method: Method,
     address: SocketAddr,
@@ -51,7 +52,7 @@
 ) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(Bytes::from(body)));
     *request.method_mut() = method;
-    // Targets are made of constants, numbers and names that were read from text: they are valid.
+    // Targets consist of constants, numbers and validated names, so parsing does not fail.
     if let Ok(target) = target.parse() {
         *request.uri_mut() = target;
     }
@@ -62,7 +63,8 @@
 }
 
 impl ConnectionPool {
-    /// Makes a call; its connection is kept for so many milliseconds.
+    /// Makes a call and reads the complete answer. `idle_ms` is the idle limit of the connection,
+    /// which is kept for reuse.
     pub async fn call(
         &self,
         address: SocketAddr,
@@ -71,7 +73,7 @@
         idle_ms: u64,
     ) -> Result<CallAnswer, CallError> {
         let calling = self.call_untimed(address, request, idle_ms);
-        until(deadline, calling).await.unwrap_or_else(|| LateSnafu.fail())
+        until(deadline, calling).await.unwrap_or_else(|| TimedOutSnafu.fail())
     }
 
     async fn call_untimed(
@@ -82,7 +84,7 @@
     ) -> Result<CallAnswer, CallError> {
         let mut connection = self.reuse_or_open(address).await?;
         let response = match connection.exchange(request.clone()).await {
-            // The kept connection was closed meanwhile, and nothing was sent.
+            // The idle connection was closed meanwhile, and nothing was sent.
             Err(ExchangeError::NotSent { .. }) => {
                 connection = self.open(address).await?;
                 connection.exchange(request).await?
@@ -90,7 +92,7 @@
             other => other?,
         };
         let (head, body) = response.into_parts();
-        let body = body.collect().await.map_err(|_| CallError::Broken)?;
+        let body = body.collect().await.map_err(|_| CallError::Interrupted)?;
         self.keep(connection, Some(idle_ms));
         Ok(CallAnswer { status: head.status, headers: head.headers, body: body.to_bytes() })
     }
--- a/crates/guava-serve/src/upstreams/list_order.rs
+++ b/crates/guava-serve/src/upstreams/list_order.rs
@@ -1,17 +1,17 @@
-//! The order of the records that make up the list of upstreams.
+//! Order in which the records of the list of upstreams take effect.
 //!
-//! A daemon learns of records by its own reads, which come in order, and from peers, which may be
-//! ahead of it or behind. A peer's word on a record before this daemon's own position is never news:
-//! the record was taken in, or a later one replaced it. Of the records after that position the
-//! newest of each upstream counts, whoever told it and in which order.
+//! A daemon obtains records by its own reads, which arrive in order, and from peers, which may be
+//! ahead of it or behind. A record that a peer reports from before this daemon's read position is
+//! ignored: it was applied already, or a later one replaced it. Of the records after that position
+//! the newest of each upstream applies, whatever its source and the order of arrival.
 
 use guava_types::FastMap;
 use std::fmt;
 
-/// Upstreams of which peers told records after this daemon's position, at most.
-const MOST_TOLD: usize = 4_096;
+/// Largest number of upstreams for which records from peers are kept.
+const MAX_PEER_RECORDS: usize = 4_096;
 
-/// Position of a record in the list's history; later records have higher ones.
+/// Position of a record in the list's history; later records have higher positions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ListRevision(pub u64);
 
@@ -21,57 +21,58 @@
     }
 }
 
-/// How far the list's records are known.
+/// Read position in the list, and the newer records that peers reported.
 #[derive(Debug, Default)]
 pub struct ListOrder {
-    /// All records before this one were taken in.
+    /// All records before this position were applied.
     position: ListRevision,
-    /// The newest record after it that peers told, by the upstream's name.
-    told: FastMap<Box<str>, ListRevision>,
+    /// Newest record from a peer at or after it, by the upstream's name.
+    from_peers: FastMap<Box<str>, ListRevision>,
 }
 
 impl ListOrder {
-    /// Where this daemon's next read begins.
+    /// Position at which this daemon's next read begins.
     pub fn position(&self) -> ListRevision {
         self.position
     }
 
-    /// Whether a record that a peer tells may change the list.
+    /// Whether a record reported by a peer is to be applied; if so, it is noted as the newest one
+    /// of its upstream.
     pub fn admit_from_peer(&mut self, name: &str, revision: ListRevision) -> bool {
         if revision < self.position || !self.admit_read(name, revision) {
             return false;
         }
-        if let Some(told) = self.told.get_mut(name) {
-            *told = revision;
+        if let Some(known) = self.from_peers.get_mut(name) {
+            *known = revision;
             return true;
         }
-        if self.told.len() >= MOST_TOLD {
-            self.forget_oldest();
+        if self.from_peers.len() >= MAX_PEER_RECORDS {
+            self.drop_older_half();
         }
-        self.told.insert(name.into(), revision);
+        self.from_peers.insert(name.into(), revision);
         true
     }
 
-    /// Whether a record that this daemon reads may change the list: unless a peer told a newer one.
+    /// Whether a record that this daemon read is to be applied: not if a peer reported a newer one.
     pub fn admit_read(&self, name: &str, revision: ListRevision) -> bool {
-        self.told.get(name).is_none_or(|told| *told <= revision)
+        self.from_peers.get(name).is_none_or(|known| *known <= revision)
     }
 
-    /// Whether a peer told a record of an upstream that this daemon has not reached.
-    pub fn is_told(&self, name: &str) -> bool {
-        self.told.contains_key(name)
+    /// Whether a peer reported a record of this upstream that is at or after the read position.
+    pub fn has_peer_record(&self, name: &str) -> bool {
+        self.from_peers.contains_key(name)
     }
 
-    /// Notes that all records before a revision were taken in.
+    /// Notes that all records before a position were applied.
     pub fn note_position(&mut self, position: ListRevision) {
         self.position = position;
-        self.told.retain(|_, told| *told >= position);
+        self.from_peers.retain(|_, known| *known >= position);
     }
 
-    /// Passes over the older half of what peers told. A record that is still missing then shows as a
-    /// difference to the readers' digest, and is read.
-    fn forget_oldest(&mut self) {
-        let mut revisions: Vec<ListRevision> = self.told.values().copied().collect();
+    /// Drops the older half of the records from peers and moves the position past them. A record
+    /// that this skips shows as a difference from the readers' digest, and is then read.
+    fn drop_older_half(&mut self) {
+        let mut revisions: Vec<ListRevision> = self.from_peers.values().copied().collect();
         let middle = revisions.len() / 2;
         let (_, median, _) = revisions.select_nth_unstable(middle);
         let position = *median;
--- a/crates/guava-serve/src/upstreams/quarantine_record.rs
+++ b/crates/guava-serve/src/upstreams/quarantine_record.rs
@@ -1,21 +1,21 @@
-//! Records of stopped requests, and how much is known of them.
+//! Stored records of quarantined requests, and how recently this daemon obtained them.
 
 use guava_types::{Moment, RequestDigest};
 
-/// A stopped request's record.
+/// Stored record of a quarantined request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuarantineRecord {
-    /// Which.
+    /// Digest of the request.
     pub request: RequestDigest,
-    /// How often it has been stopped.
+    /// How often it has been quarantined.
     pub quarantine_count: u32,
 }
 
-/// When the records were last read, or told by a peer that knows them.
+/// Whether this daemon knows the records, and when a peer last confirmed them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct QuarantineSync {
-    /// Whether this daemon knows the records.
+    /// Whether the records were read here or reported by a peer that knows them.
     pub is_known: bool,
-    /// When a peer that knows them last spoke.
+    /// When the last message of a peer that knows them arrived.
     pub last_confirmed: Moment,
 }
--- a/crates/guava-serve/src/upstreams/quarantine_task.rs
+++ b/crates/guava-serve/src/upstreams/quarantine_task.rs
@@ -1,9 +1,10 @@
-//! Keeps stopped requests where they outlast all daemons.
+//! Persists quarantined requests, so that quarantines survive the loss of all daemons.
 //!
-//! Daemons tell each other which requests are stopped; but when all of them are lost at once, nobody
-//! is left who knows, and the requests would end three upstreams more each. So each stopped request
-//! has a record in the platform's store, written by those that read it for all, and read by whoever
-//! starts and is told by nobody, or hears nobody any more.
+//! Daemons gossip quarantines to each other. If all daemons are lost at once, that knowledge is
+//! lost too, and each request would crash three more upstreams before it is quarantined again. So
+//! each quarantined request has a record in the platform's store. The reader and its standbys write
+//! the records. A daemon reads them if it starts and no peer reports them, or if its peers are
+//! silent.
 
 use crate::events;
 use crate::members::retry_pause::{RetryPause, is_read_urgent};
@@ -17,47 +18,49 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// How long a daemon that starts waits for a peer that knows the records, in milliseconds, unless it
-/// is one of those that read for all. A second later its time to know them is over by a third.
-const TOLD_MS: u64 = 1_000;
-/// Time without a peer's word after which the records are read again, in milliseconds: a daemon that
-/// reaches the store and none of its peers must still learn of requests stopped meanwhile.
-const ALONE_MS: u64 = 2_000;
-/// Pause between two looks at whether something is due, in milliseconds.
-const LOOK_MS: u64 = 250;
+/// How long a daemon that starts waits for a peer to report the records before it reads them
+/// itself, in milliseconds; the reader and its standbys don't wait. This uses a third of the time
+/// within which a daemon must know the records.
+const FIRST_REPORT_TIMEOUT_MS: u64 = 1_000;
+/// Time without a message from a peer after which the records are read again, in milliseconds: a
+/// daemon that reaches the store but none of its peers must still learn of new quarantines.
+const PEER_SILENCE_MS: u64 = 2_000;
+/// Interval between two checks whether a read or write is due, in milliseconds.
+const CHECK_INTERVAL_MS: u64 = 250;
 
-/// Whether the records are to be read: by those that read for all at their start, by the others if
-/// nobody tells them; and again where nobody speaks any more.
+/// Whether the records are to be read now. The reader and its standbys read them at their start,
+/// and the others if no peer reports them in time. A daemon reads them again if it has peers and
+/// all of them are silent.
 pub fn is_read_due(
-    sight: QuarantineSync,
+    sync: QuarantineSync,
     started: Moment,
-    turn: usize,
+    rank: usize,
     peers: usize,
     now: Moment,
 ) -> bool {
-    if !sight.is_known {
-        return turn <= STANDBYS || now.millis_since(started) >= TOLD_MS;
+    if !sync.is_known {
+        return rank <= STANDBYS || now.millis_since(started) >= FIRST_REPORT_TIMEOUT_MS;
     }
-    peers > 0 && now.millis_since(sight.last_confirmed) >= ALONE_MS
+    peers > 0 && now.millis_since(sync.last_confirmed) >= PEER_SILENCE_MS
 }
 
-/// Reads and writes the records of stopped requests, for ever.
+/// Reads and writes the records of quarantined requests, in an endless loop.
 pub async fn persist_quarantines(context: Rc<ServeContext>, port: QuarantinePort) {
     let started = Moment::now();
-    let mut duty =
-        QuarantineTask { context, port, started, written: FastMap::default(), read: None };
+    let mut task =
+        QuarantineTask { context, port, started, written: FastMap::default(), next_read: None };
     let mut retry = RetryPause::default();
     loop {
-        match duty.step().await {
+        match task.step().await {
             Ok(()) => {
                 retry.reset();
-                let pause = Duration::from_millis(LOOK_MS);
-                // Whether it is time or there is news makes no difference.
-                drop(timeout(pause, duty.context.quarantines_due.notified()).await);
+                let pause = Duration::from_millis(CHECK_INTERVAL_MS);
+                // A notification and the end of the interval lead to the same step.
+                drop(timeout(pause, task.context.quarantines_due.notified()).await);
             }
             Err(reason) => {
                 log_event!(debug, events::STOPS_UNREAD, reason = reason);
-                let is_urgent = is_read_urgent(&duty.context);
+                let is_urgent = is_read_urgent(&task.context);
                 sleep(retry.after_failure(is_urgent, rand::random())).await;
             }
         }
@@ -68,29 +71,29 @@
     context: Rc<ServeContext>,
     port: QuarantinePort,
     started: Moment,
-    /// Records that stand in the store, as far as this daemon wrote or read them.
+    /// Quarantine counts that this daemon wrote to the store or read from it.
     written: FastMap<RequestDigest, u32>,
-    /// When the records were last read here.
-    read: Option<Deadline>,
+    /// Earliest moment of the next read; `None` until the first read.
+    next_read: Option<Deadline>,
 }
 
 impl QuarantineTask {
     async fn step(&mut self) -> Result<(), PortError> {
         let now = Moment::now();
-        let (turn, peers) = {
+        let (rank, peers) = {
             let members = self.context.members.borrow();
             (members.reader_rank(&self.context.identity.name, now), members.count() - 1)
         };
-        let sight = self.context.quarantine_sync.get();
+        let sync = self.context.quarantine_sync.get();
         for request in self.context.ledger.borrow_mut().sweep(now) {
             log_event!(info, events::REQUEST_CLEARED, digest = request, reason = "over");
         }
-        let may_read = self.read.is_none_or(|again| again.passed(now));
-        if may_read && is_read_due(sight, self.started, turn, peers, now) {
+        let may_read = self.next_read.is_none_or(|due| due.passed(now));
+        if may_read && is_read_due(sync, self.started, rank, peers, now) {
             self.read_records().await?;
         }
-        if turn <= STANDBYS {
-            self.write_records(turn).await?;
+        if rank <= STANDBYS {
+            self.write_records(rank).await?;
         }
         Ok(())
     }
@@ -98,9 +101,9 @@
     async fn read_records(&mut self) -> Result<(), PortError> {
         let records = (self.port.read)().await?;
         let now = Moment::now();
-        self.read = Some(Deadline::after(now, ALONE_MS));
-        let sight = self.context.quarantine_sync.get();
-        self.context.quarantine_sync.set(QuarantineSync { is_known: true, ..sight });
+        self.next_read = Some(Deadline::after(now, PEER_SILENCE_MS));
+        let sync = self.context.quarantine_sync.get();
+        self.context.quarantine_sync.set(QuarantineSync { is_known: true, ..sync });
         for record in records {
             self.written.insert(record.request, record.quarantine_count);
             let QuarantineRecord { request, quarantine_count } = record;
@@ -111,9 +114,10 @@
         Ok(())
     }
 
-    /// Writes what is stopped and has no record, and drops the records of what is not any more. The
-    /// first reader drops: a standby that was cut off may not know why a request is stopped.
-    async fn write_records(&mut self, turn: usize) -> Result<(), PortError> {
+    /// Writes records that are missing or outdated, and removes those of requests that are no
+    /// longer in the ledger. Only the reader removes: a standby that was cut off may not know of
+    /// the evidence against a request.
+    async fn write_records(&mut self, rank: usize) -> Result<(), PortError> {
         let known: Vec<QuarantineRecord> = {
             let ledger = self.context.ledger.borrow();
             let remembered = ledger.remembered();
@@ -131,11 +135,11 @@
                 self.written.insert(record.request, record.quarantine_count);
             }
         }
-        let is_known = |request: &RequestDigest| known.iter().any(|one| one.request == *request);
-        let over: Vec<RequestDigest> =
+        let is_known = |request: &RequestDigest| known.iter().any(|kept| kept.request == *request);
+        let obsolete: Vec<RequestDigest> =
             self.written.keys().filter(|request| !is_known(request)).copied().collect();
-        for request in over {
-            if turn == 0 {
+        for request in obsolete {
+            if rank == 0 {
                 (self.port.remove)(request).await?;
             }
             self.written.remove(&request);
--- a/crates/guava-serve/src/upstreams/upstream_call.rs
+++ b/crates/guava-serve/src/upstreams/upstream_call.rs
@@ -1,8 +1,9 @@
-//! Calls to upstreams beside requests: reports and orders.
+//! Calls to upstreams that are not requests, namely reports and orders, and calls to stores of
+//! prompt parts.
 //!
-//! They reach the upstream as requests do, so they count among what was sent to it, and what it says of
-//! itself in their answers is taken in. They are few, and weights wait for them, so no limit holds them
-//! back; a rest that was asked for does. It also does at stores of cached parts.
+//! Calls use up an upstream's rate limit as requests do, so they are counted as sends, and the
+//! announcements in their answers are applied. They are few, and the loading of weights depends on
+//! them, so they are sent even when the limit is used up. A back-off is respected, at stores too.
 
 use crate::serve_context::ServeContext;
 use crate::upstreams::announcement_watch::{note_announcements, note_send};
@@ -14,7 +15,8 @@
 use snafu::ensure;
 use std::net::SocketAddr;
 
-/// Makes a call to an upstream; its connection is kept for so many milliseconds.
+/// Makes a call to an upstream; fails at once while it wants no requests. `idle_ms` is the idle
+/// limit of the connection, which is kept for reuse.
 pub async fn call_upstream(
     context: &ServeContext,
     upstream: &UpstreamId,
@@ -37,7 +39,8 @@
     Ok(answer)
 }
 
-/// Makes a call to a store of cached parts; its connection is kept for so many milliseconds.
+/// Makes a call to a store of prompt parts; fails at once while it wants no requests. `idle_ms` is
+/// the idle limit of the connection, which is kept for reuse.
 pub async fn call_store(
     context: &ServeContext,
     store: SocketAddr,
@@ -49,10 +52,10 @@
     ensure!(backoff_until.is_none_or(|until| until.passed(Moment::now())), BackingOffSnafu);
     let answer = context.pool.call(store, request, deadline, idle_ms).await?;
     let announcements = (context.dialect.marks)(answer.status, &answer.headers).announcements;
-    let mut rests = context.store_backoffs.borrow_mut();
+    let mut backoffs = context.store_backoffs.borrow_mut();
     match announcements.backoff_until {
-        Some(until) => drop(rests.insert(store, until)),
-        None => drop(rests.remove(&store)),
+        Some(until) => drop(backoffs.insert(store, until)),
+        None => drop(backoffs.remove(&store)),
     }
     Ok(answer)
 }
--- a/crates/guava-serve/src/upstreams/upstream_crashes.rs
+++ b/crates/guava-serve/src/upstreams/upstream_crashes.rs
@@ -1,4 +1,8 @@
-//! Upstreams that end under requests: found out, no more used, and held against the requests.
+//! Detection of upstreams that crash, and the evidence against requests in flight there.
+//!
+//! A crash is detected by a refused connection. The upstream is then not used for a time, and the
+//! requests in flight are recorded in the crash ledger, which quarantines those that were in flight
+//! at several crashes.
 
 use crate::events;
 use crate::serve_context::ServeContext;
@@ -10,28 +14,29 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Pause before the look whether an upstream has ended, in milliseconds: a process that ends closes
-/// its connections one after the other, and its listener may come last.
-const LOOK_MS: u64 = 5;
-/// For how long an upstream counts as ended, in milliseconds: its entry lapses after three of its
-/// heartbeats, and is read within a second of that. One that was taken for ended by mistake is used
-/// again after that time.
-const ENDED_MS: u64 = 4_500;
-/// Digests in one log line at most.
-const LOGGED_DIGESTS: usize = 12;
+/// Delay before the check whether an upstream still listens, in milliseconds. A process that exits
+/// closes its sockets one after the other, and its listener may be the last.
+const LISTENER_CHECK_DELAY_MS: u64 = 5;
+/// For how long an upstream counts as crashed, in milliseconds. Its entry lapses after three missed
+/// heartbeats, and the removal is read within a second of that. An upstream that was considered
+/// crashed by mistake is used again after this time.
+const CRASH_RETENTION_MS: u64 = 4_500;
+/// Largest number of request digests in one log line.
+const MAX_LOGGED_DIGESTS: usize = 12;
 
-/// Takes in that a send broke off after its upstream may have begun to run the request.
+/// Notes an interrupted send: the connection broke after the upstream may have begun to run the
+/// request. The first one at an upstream starts a check whether that upstream crashed.
 pub fn note_interrupted(context: &Rc<ServeContext>, upstream: &UpstreamId, request: RequestDigest) {
     let now = Moment::now();
     if context.upstreams.borrow().has_crashed(upstream, now) {
         note_upstream_crash(context, upstream, vec![request], now);
     } else if context.broken_sends.borrow_mut().note_interrupted(upstream, request, now) {
-        drop(tokio::task::spawn_local(look(Rc::clone(context), upstream.clone())));
+        drop(tokio::task::spawn_local(check_listener(Rc::clone(context), upstream.clone())));
     }
 }
 
-async fn look(context: Rc<ServeContext>, upstream: UpstreamId) {
-    sleep(Duration::from_millis(LOOK_MS)).await;
+async fn check_listener(context: Rc<ServeContext>, upstream: UpstreamId) {
+    sleep(Duration::from_millis(LISTENER_CHECK_DELAY_MS)).await;
     let address = context.upstreams.borrow().entry(&upstream).map(|entry| entry.address);
     let is_listening = match address {
         Some(address) => context.pool.is_listening(address).await,
@@ -40,12 +45,12 @@
     if is_listening == Some(false) {
         note_refused(&context, &upstream);
     } else {
-        // It lives, or that can't be told: what broke off there is nobody's fault.
+        // It is running, or that is unknown: the interrupted sends are no evidence.
         context.broken_sends.borrow_mut().take(&upstream);
     }
 }
 
-/// Takes in that nobody listens at an upstream's address.
+/// Notes that an upstream's address refuses connections, which shows that it crashed.
 pub fn note_refused(context: &ServeContext, upstream: &UpstreamId) {
     let now = Moment::now();
     let sends = context.broken_sends.borrow_mut().take(upstream);
@@ -57,11 +62,12 @@
     }
 }
 
-/// Takes in that an upstream has ended at some moment, with the requests of this daemon's that broke off there, and
-/// has the others told of these.
+/// Notes that an upstream crashed, with this daemon's requests that were in flight there, and
+/// gossips these requests to the peers.
 ///
-/// That it ended is not told: what this daemon can't reach others may. Believed by all, one daemon
-/// behind a cut that refuses connections would take every upstream from everybody.
+/// Peers use the notice as evidence against the requests only and go on using the upstream, which
+/// they may reach even if this daemon can't. Otherwise one daemon behind a network partition that
+/// refuses connections would make every upstream unavailable to all.
 pub fn note_upstream_crash(
     context: &ServeContext,
     upstream: &UpstreamId,
@@ -70,12 +76,12 @@
 ) {
     let now = Moment::now();
     if context.is_leaving(upstream) {
-        // It ended as it had announced: no request is to blame.
+        // It exited as announced: that is no evidence against any request.
         requests.clear();
     }
-    take_off(context, upstream, now);
+    mark_crashed(context, upstream, now);
     let list: Vec<String> =
-        requests.iter().take(LOGGED_DIGESTS).map(RequestDigest::to_string).collect();
+        requests.iter().take(MAX_LOGGED_DIGESTS).map(RequestDigest::to_string).collect();
     log_event!(
         info,
         events::UPSTREAM_CRASHED,
@@ -84,7 +90,8 @@
         digests = list.join(" ")
     );
     let notice = CrashNotice { upstream: upstream.clone(), at, requests };
-    // Without any request it still shows that others at the same moment had a cause of their own.
+    // Even without requests, it shows that the requests are not the cause of other crashes at the
+    // same moment.
     let is_change = apply_crash(context, &notice, now);
     if is_change && !notice.requests.is_empty() {
         context.crash_gossip.borrow_mut().note_crash(notice, now);
@@ -92,78 +99,80 @@
     }
 }
 
-/// Sends an upstream no more work.
-fn take_off(context: &ServeContext, upstream: &UpstreamId, now: Moment) {
+/// Marks an upstream as crashed and closes the idle connections to it.
+fn mark_crashed(context: &ServeContext, upstream: &UpstreamId, now: Moment) {
     let mut upstreams = context.upstreams.borrow_mut();
     let Some(address) = upstreams.entry(upstream).map(|entry| entry.address) else { return };
-    upstreams.note_crashed(upstream, Deadline::after(now, ENDED_MS));
+    upstreams.note_crashed(upstream, Deadline::after(now, CRASH_RETENTION_MS));
     context.pool.close_idle(address);
 }
 
-/// Takes in under which requests an upstream ended, as seen here or told by a peer; whether it is
-/// news. Also of an upstream that is not, or no more, listed here.
+/// Applies a crash that was detected here or reported by a peer to the crash ledger; returns
+/// whether it changed anything. The upstream need not be listed here.
 pub fn apply_crash(context: &ServeContext, notice: &CrashNotice, now: Moment) -> bool {
     let mut ledger = context.ledger.borrow_mut();
-    let news = ledger.note_crash(&notice.upstream, &notice.requests, notice.at, now);
+    let change = ledger.note_crash(&notice.upstream, &notice.requests, notice.at, now);
     drop(ledger);
-    log_verdicts(context, &news);
-    news.is_change
+    log_quarantine_changes(context, &change);
+    change.is_change
 }
 
-fn log_verdicts(context: &ServeContext, news: &LedgerChange) {
-    for request in &news.stopped {
+fn log_quarantine_changes(context: &ServeContext, change: &LedgerChange) {
+    for request in &change.stopped {
         context.metrics.count_request("stopped");
         log_event!(warn, events::REQUEST_QUARANTINED, digest = request, source = "evidence");
     }
-    for request in &news.lifted {
+    for request in &change.lifted {
         log_event!(info, events::REQUEST_CLEARED, digest = request, reason = "explained");
     }
-    if !news.stopped.is_empty() || !news.lifted.is_empty() {
-        note_verdicts(context);
+    if !change.stopped.is_empty() || !change.lifted.is_empty() {
+        schedule_quarantine_gossip(context);
     }
 }
 
-/// Has peers and the store told of verdicts that were just found here.
-fn note_verdicts(context: &ServeContext) {
+/// Schedules quarantines and clearances that were just decided here for the peers and the store.
+fn schedule_quarantine_gossip(context: &ServeContext) {
     context.verdicts_due.set(true);
     context.message_due.notify_one();
     context.quarantines_due.notify_one();
 }
 
-/// Takes in that a peer has stopped a request.
-pub fn apply_quarantine(context: &ServeContext, stop: QuarantineNotice, now: Moment) {
-    if context.ledger.borrow_mut().note_from_peer(stop, now) {
-        log_event!(warn, events::REQUEST_QUARANTINED, digest = stop.request, source = "peer");
+/// Applies a quarantine that a peer reported.
+pub fn apply_quarantine(context: &ServeContext, quarantine: QuarantineNotice, now: Moment) {
+    if context.ledger.borrow_mut().note_from_peer(quarantine, now) {
+        log_event!(warn, events::REQUEST_QUARANTINED, digest = quarantine.request, source = "peer");
         context.quarantines_due.notify_one();
     }
 }
 
-/// Takes in that a request was answered whole by an upstream.
+/// Notes that an upstream completed a request successfully. The digest is computed only if the
+/// ledger holds any evidence.
 pub fn note_answer(context: &ServeContext, digest: impl FnOnce() -> RequestDigest) {
-    // Nearly always nothing is known of any request, and none need be looked up.
+    // The ledger is nearly always empty, so the digest is rarely needed.
     if context.ledger.borrow().is_empty() {
         return;
     }
     note_request_answered(context, digest());
 }
 
-/// The same of a request whose digest is known.
+/// Notes that the request with this digest was completed successfully, which clears it.
 pub fn note_request_answered(context: &ServeContext, request: RequestDigest) {
     let now = Moment::now();
     if context.ledger.borrow_mut().note_answer(request, now) {
-        context.crash_gossip.borrow_mut().forget(ClearNotice { request, at: now });
+        context.crash_gossip.borrow_mut().remove_cleared(ClearNotice { request, at: now });
         log_event!(info, events::REQUEST_CLEARED, digest = request, reason = "answered");
-        note_verdicts(context);
+        schedule_quarantine_gossip(context);
     }
 }
 
-/// Takes in that a peer has nothing against a request up to some moment.
+/// Applies a clearance that a peer reported: evidence up to its moment is dropped.
 pub fn apply_cleared(context: &ServeContext, notice: ClearNotice, now: Moment) {
     context.ledger.borrow_mut().note_cleared(notice, now);
-    context.crash_gossip.borrow_mut().forget(notice);
+    context.crash_gossip.borrow_mut().remove_cleared(notice);
 }
 
-/// Until when a request is stopped, if it is.
+/// End of a request's quarantine; `None` if it is not quarantined. The digest is computed only if
+/// the ledger holds any evidence.
 pub fn quarantined_until(
     context: &ServeContext,
     digest: impl FnOnce() -> RequestDigest,
--- a/crates/guava-serve/src/upstreams/upstream_table.rs
+++ b/crates/guava-serve/src/upstreams/upstream_table.rs
@@ -1,8 +1,8 @@
-//! The upstreams as the platform's list has them, late and with outages.
+//! The upstreams in the platform's list, which arrives with a delay and has outages.
 //!
-//! An id names one start of one upstream and is never used again. Leaving is final for an id. An
-//! upstream that starts again under its name replaces its earlier start at once; what comes late of
-//! that one changes nothing.
+//! An id identifies one start of one upstream and is never reused. Leaving is final for an id. When
+//! an upstream restarts under its name, the new start replaces the earlier one at once, and late
+//! data about the earlier start is ignored.
 
 use crate::upstreams::list_order::{ListOrder, ListRevision};
 use guava_types::{
@@ -23,88 +23,90 @@
     }
 }
 
-/// How long after the list's return an entry that lapsed meanwhile may still come back, in
-/// milliseconds. The list's contract: about two seconds.
+/// Time after an outage of the list within which an entry that lapsed during the outage may be
+/// registered again, in milliseconds. The list's contract states about two seconds.
 const LAPSE_GRACE_MS: u64 = 2_000;
 
-/// How much later than known a cold upstream must turn warm for that to be news, in milliseconds:
-/// each entry that is read tells what was left when it was written, some tenths of a second before.
-const COLD_NEWS_MS: u64 = 1_000;
+/// Smallest extension of a cold period that counts as a change, in milliseconds. Each entry states
+/// the time left when it was written, some tenths of a second before it is read, so the end that is
+/// computed from it varies by as much.
+const MIN_COLD_EXTENSION_MS: u64 = 1_000;
 
-/// Names whose newest start is remembered, beyond the upstreams that are listed: late messages come
-/// within seconds, and within these no deployment replaces so many.
-const REMEMBERED_NAMES: usize = 4_096;
+/// Names whose newest start is kept beyond the number of listed upstreams. Late messages arrive
+/// within seconds, in which no deployment replaces this many upstreams.
+const MAX_UNLISTED_NAMES: usize = 4_096;
 
-/// For how long versions that an engine has refused are ruled out, in milliseconds: its heartbeat and
-/// the list's readers tell its weights within about that time.
-const RULED_OUT_MS: u64 = 2_000;
+/// For how long versions that an engine refused stay ruled out, in milliseconds. Its heartbeat and
+/// the list's readers report its actual version within about that time.
+const RULED_OUT_RETENTION_MS: u64 = 2_000;
 
-/// Versions that an engine does not have, by its refusals, while nobody tells which it has.
+/// Versions of a model that an engine refused, kept until its actual version is reported.
 #[derive(Clone, Debug)]
-struct VersionDoubt {
+struct RefusedVersions {
     model: ModelName,
     ruled_out: Vec<WeightVersion>,
     until: Deadline,
 }
 
-/// An upstream as the list describes it.
+/// An upstream's entry in the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamEntry {
-    /// This start of it.
+    /// Identifies this start of the upstream.
     pub id: UpstreamId,
-    /// Which record of the list this is.
+    /// Position of the record in the list's history.
     pub revision: ListRevision,
-    /// Service that it belongs to.
+    /// Service that the upstream belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Data centre in which it runs.
     pub data_centre: DataCentre,
-    /// Requests that it runs at a time.
+    /// Requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it takes no new work.
+    /// Whether it takes no new work and will exit; final for this id.
     pub is_leaving: bool,
-    /// Until when it is cold.
+    /// When its cold period ends.
     pub cold_until: Deadline,
-    /// Weights that it serves, by model.
+    /// Version of the weights that it serves, by model.
     pub versions: FastMap<ModelName, WeightVersion>,
 }
 
 #[derive(Clone, Debug)]
 struct ListedUpstream {
     entry: UpstreamEntry,
-    /// Set while the entry is missing from the list and may still come back.
-    dropped_at: Option<Deadline>,
-    /// Set while new weights are being loaded, as far as is known.
+    /// When a missing entry is removed for good; set while it may be registered again.
+    removal_due: Option<Deadline>,
+    /// When it is expected to have loaded new weights; in the past if it loads none.
     loading_until: Deadline,
-    /// Set while nobody listens at its address.
-    ended_until: Deadline,
-    doubt: Option<VersionDoubt>,
+    /// Until when it counts as crashed; in the past if it does not.
+    crashed_until: Deadline,
+    refused: Option<RefusedVersions>,
 }
 
-/// What a change of the list did, for the log.
+/// Effect of a list change on this daemon's table, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListChangeEffect {
-    /// Nothing new.
+    /// The entry changed nothing.
     Same,
-    /// A new upstream.
+    /// An upstream that was not known was added.
     Added,
-    /// It started again under its name; nothing that was learnt of the one before holds.
+    /// The upstream restarted under its name; all state of the earlier start was dropped.
     Restarted,
-    /// It has newer weights.
+    /// It serves other weights.
     Weights,
-    /// It is cold, for longer than was known.
+    /// Its cold period is longer than was known.
     Cold,
-    /// It takes no new work from now on.
+    /// It is leaving and takes no new work.
     Leaving,
-    /// Its entry is gone, but may come back: it lapsed while the list was away.
+    /// Its entry is missing after an outage of the list, and is kept while it may be registered
+    /// again.
     Lapsed,
-    /// It is gone.
+    /// It was removed.
     Removed,
 }
 
 impl ListChangeEffect {
-    /// In a word, for logs.
+    /// Value of the log's `change` key.
     pub fn name(self) -> &'static str {
         match self {
             Self::Same => "same",
@@ -119,71 +121,73 @@
     }
 }
 
-/// The upstreams.
+/// Listed upstreams, by id and by service, with what was learnt of each since it was listed.
 #[derive(Debug, Default)]
 pub struct UpstreamTable {
     listed: FastMap<UpstreamId, ListedUpstream>,
     by_service: FastMap<ServiceName, Vec<UpstreamId>>,
-    /// The newest start known of each name, kept for a while after it is gone.
+    /// Newest known start of each name, kept for a while after it is removed.
     newest: FastMap<Box<str>, UpstreamId>,
-    /// Services that the configuration names, once there is one.
+    /// Services that the configuration names; `None` until a configuration is applied.
     services: Option<FastSet<ServiceName>>,
     is_known: bool,
     is_unavailable: bool,
-    returned: Moment,
+    available_since: Moment,
     order: ListOrder,
 }
 
 impl UpstreamTable {
-    /// The order of the list's records.
+    /// Decides which records of the list are still to be applied.
     pub fn order(&mut self) -> &mut ListOrder {
         &mut self.order
     }
 
-    /// Whether the list was ever read.
+    /// Whether the list has been read since this daemon started.
     pub fn is_known(&self) -> bool {
         self.is_known
     }
 
-    /// Notes that the list can't be read; what is known stays in use. Whether that is news.
+    /// Notes that the list can't be read; known entries stay in use. Returns whether it was
+    /// readable before.
     pub fn note_unavailable(&mut self) -> bool {
         !std::mem::replace(&mut self.is_unavailable, true)
     }
 
-    /// Whether the list could not be read the last time.
+    /// Whether the last read of the list failed.
     pub fn is_unavailable(&self) -> bool {
         self.is_unavailable
     }
 
-    /// Notes that the list was read, before what it says is taken in. Whether it was away.
+    /// Notes that the list was read; to be called before its entries are applied. Returns whether
+    /// it was unavailable before.
     pub fn note_read(&mut self, now: Moment) -> bool {
         self.is_known = true;
-        let was_away = std::mem::replace(&mut self.is_unavailable, false);
-        if was_away {
-            self.returned = now;
+        let was_unavailable = std::mem::replace(&mut self.is_unavailable, false);
+        if was_unavailable {
+            self.available_since = now;
         }
-        was_away
+        was_unavailable
     }
 
-    /// Notes which services the configuration names: an entry of another is nobody's engine.
+    /// Notes which services the configuration names; `entries` omits upstreams of other services.
     pub fn note_services(&mut self, services: FastSet<ServiceName>) {
         self.services = Some(services);
     }
 
-    /// The newest start known of an upstream.
+    /// Id of the newest known start of the upstream with this name.
     pub fn newest_start(&self, name: &str) -> Option<&UpstreamId> {
         self.newest.get(name)
     }
 
-    /// Takes in that somebody speaks of a start of an upstream; whether an earlier one was listed,
-    /// which is dropped with all that was learnt of it.
+    /// Notes a start of an upstream that any source mentioned. If it is newer than the known one,
+    /// the earlier start's entry and state are dropped; returns whether such an entry was listed.
     pub fn note_start(&mut self, id: &UpstreamId) -> bool {
         let before = self.newest.get(id.name());
         if before.is_some_and(|before| !before.is_before(id)) {
             return false;
         }
         let before = before.cloned();
-        if self.newest.len() >= self.listed.len() + REMEMBERED_NAMES {
+        if self.newest.len() >= self.listed.len() + MAX_UNLISTED_NAMES {
             let listed = &self.listed;
             self.newest.retain(|_, id| listed.contains_key(id));
         }
@@ -193,7 +197,7 @@
         was_listed
     }
 
-    /// Takes an entry in; one of an earlier start than the newest known changes nothing.
+    /// Applies an entry; an entry of an earlier start than the newest known one is ignored.
     pub fn note_entry(&mut self, entry: UpstreamEntry) -> ListChangeEffect {
         let is_restart = self.note_start(&entry.id);
         let newest = self.newest.get(entry.id.name());
@@ -206,29 +210,30 @@
                 let id = entry.id.clone();
                 let listed = ListedUpstream {
                     entry,
-                    dropped_at: None,
+                    removal_due: None,
                     loading_until: Deadline::default(),
-                    ended_until: Deadline::default(),
-                    doubt: None,
+                    crashed_until: Deadline::default(),
+                    refused: None,
                 };
                 self.listed.insert(id, listed);
                 if is_restart { ListChangeEffect::Restarted } else { ListChangeEffect::Added }
             }
             Some(listed) => {
-                listed.dropped_at = None;
+                listed.removal_due = None;
                 let was_leaving = listed.entry.is_leaving;
                 let versions = newest_versions(&listed.entry.versions, &entry.versions);
-                let has_news = listed.entry.versions != entry.versions;
+                let has_new_versions = listed.entry.versions != entry.versions;
                 let cold_until = listed.entry.cold_until;
-                let is_colder = Deadline::after(cold_until.0, COLD_NEWS_MS) < entry.cold_until;
+                let is_colder =
+                    Deadline::after(cold_until.0, MIN_COLD_EXTENSION_MS) < entry.cold_until;
                 listed.entry = entry;
-                // An entry that comes late must not end it sooner.
+                // A late entry must not shorten the cold period.
                 listed.entry.cold_until = listed.entry.cold_until.max(cold_until);
                 listed.entry.versions = versions;
                 let is_change = listed.entry.is_leaving && !was_leaving;
-                // Leaving is final: an older copy of the entry must not bring new work back.
+                // Leaving is final: an older copy of the entry must not make it eligible again.
                 listed.entry.is_leaving |= was_leaving;
-                match (is_change, has_news, is_colder) {
+                match (is_change, has_new_versions, is_colder) {
                     (true, ..) => ListChangeEffect::Leaving,
                     (false, true, _) => ListChangeEffect::Weights,
                     (false, false, true) => ListChangeEffect::Cold,
@@ -238,25 +243,25 @@
         }
     }
 
-    /// Notes that an entry was removed from the list.
+    /// Applies the removal of an entry from the list.
     ///
-    /// Entries lapse while the list is away, since upstreams can't renew them. Dropping all of
-    /// them at once would refuse every request though all upstreams serve; so after an outage an
-    /// entry counts for the time in which living upstreams register again.
+    /// Entries lapse during an outage of the list, since upstreams can't renew them. If all were
+    /// dropped at once, every request would be refused although all upstreams serve. So after an
+    /// outage a removed entry stays valid for the time in which running upstreams register again.
     pub fn note_removed(&mut self, id: &UpstreamId, now: Moment) -> ListChangeEffect {
         let Some(listed) = self.listed.get_mut(id) else { return ListChangeEffect::Same };
-        let grace = Deadline::after(self.returned, LAPSE_GRACE_MS);
+        let grace = Deadline::after(self.available_since, LAPSE_GRACE_MS);
         let may_return = !listed.entry.is_leaving && self.is_known && !grace.passed(now);
-        if may_return && self.returned != Moment::default() {
-            listed.dropped_at = Some(grace);
+        if may_return && self.available_since != Moment::default() {
+            listed.removal_due = Some(grace);
             return ListChangeEffect::Lapsed;
         }
         self.drop_entry(id);
         ListChangeEffect::Removed
     }
 
-    /// Takes in the whole list as of a revision: entries that are not in it are removed, unless a
-    /// peer told a later record of theirs.
+    /// Applies the complete list as of a revision. Entries missing from it are removed, unless a
+    /// peer reported a later record of the same upstream.
     pub fn note_list(
         &mut self,
         entries: Vec<UpstreamEntry>,
@@ -264,13 +269,13 @@
         now: Moment,
     ) -> Vec<(UpstreamId, ListChangeEffect)> {
         self.order.note_position(end);
-        // An entry of another start of it: that one replaces it, or is older.
+        // By name, not by id: an entry of another start either replaces this one or is older.
         let is_named = |id: &UpstreamId| entries.iter().any(|entry| entry.id.name() == id.name());
         let missing: Vec<UpstreamId> = self
             .listed
             .iter()
-            .filter(|(id, listed)| listed.dropped_at.is_none() && !is_named(id))
-            .filter(|(id, _)| !self.order.is_told(id.name()))
+            .filter(|(id, listed)| listed.removal_due.is_none() && !is_named(id))
+            .filter(|(id, _)| !self.order.has_peer_record(id.name()))
             .map(|(id, _)| id.clone())
             .collect();
         let removed = missing.into_iter().map(|id| {
@@ -280,7 +285,7 @@
         let mut changes: Vec<(UpstreamId, ListChangeEffect)> = removed.collect();
         for entry in entries {
             let id = entry.id.clone();
-            // The list is read in parts: an entry may be newer than its beginning.
+            // The list is read page by page, so an entry may be newer than that revision.
             let is_change = if entry.revision < end {
                 self.order.admit_read(id.name(), entry.revision)
             } else {
@@ -294,35 +299,37 @@
         changes
     }
 
-    /// Drops the entries whose time to come back is over; which they were.
+    /// Removes lapsed entries that were not registered again in time, and returns their ids.
     pub fn drop_lapsed(&mut self, now: Moment) -> Vec<UpstreamId> {
-        let is_over = |listed: &ListedUpstream| listed.dropped_at.is_some_and(|at| at.passed(now));
-        let over: Vec<UpstreamId> = self
+        let is_overdue =
+            |listed: &ListedUpstream| listed.removal_due.is_some_and(|at| at.passed(now));
+        let overdue: Vec<UpstreamId> = self
             .listed
             .iter()
-            .filter(|(_, listed)| is_over(listed))
+            .filter(|(_, listed)| is_overdue(listed))
             .map(|(id, _)| id.clone())
             .collect();
-        over.iter().for_each(|id| self.drop_entry(id));
-        over
+        overdue.iter().for_each(|id| self.drop_entry(id));
+        overdue
     }
 
-    /// Notes that the upstream at an address is not the one with this id any more.
+    /// Removes an upstream whose address another upstream uses now.
     pub fn note_replaced(&mut self, id: &UpstreamId) {
         self.drop_entry(id);
     }
 
-    /// Notes which weights an upstream serves, by its own report.
+    /// Notes the version that an upstream itself reported; an older version than the known one is
+    /// ignored.
     pub fn note_version(&mut self, id: &UpstreamId, model: &ModelName, version: WeightVersion) {
         let Some(listed) = self.listed.get_mut(id) else { return };
         let known = listed.entry.versions.entry(model.clone()).or_default();
         *known = version.max(*known);
-        if listed.doubt.as_ref().is_some_and(|doubt| doubt.model == *model) {
-            listed.doubt = None;
+        if listed.refused.as_ref().is_some_and(|refused| refused.model == *model) {
+            listed.refused = None;
         }
     }
 
-    /// Notes that an engine refused a request since it does not have a version.
+    /// Notes that an engine refused a request because it does not have this version.
     pub fn rule_out(
         &mut self,
         id: &UpstreamId,
@@ -331,23 +338,24 @@
         now: Moment,
     ) {
         let Some(listed) = self.listed.get_mut(id) else { return };
-        let until = Deadline::after(now, RULED_OUT_MS);
-        let before = listed.doubt.take().filter(|doubt| !doubt.until.passed(now));
-        let mut ruled_out = before.filter(|doubt| doubt.model == *model);
-        let doubt = ruled_out.get_or_insert_with(|| VersionDoubt {
+        let until = Deadline::after(now, RULED_OUT_RETENTION_MS);
+        let before = listed.refused.take().filter(|refused| !refused.until.passed(now));
+        let mut ruled_out = before.filter(|refused| refused.model == *model);
+        let refused = ruled_out.get_or_insert_with(|| RefusedVersions {
             model: model.clone(),
             ruled_out: Vec::new(),
             until,
         });
-        doubt.ruled_out.push(version);
-        listed.doubt = ruled_out;
+        refused.ruled_out.push(version);
+        listed.refused = ruled_out;
     }
 
-    /// The version that an engine has of a model, as far as can be told: the one known, or while it
-    /// refuses that, the newest published one that it has not refused.
+    /// Version of a model that an engine is assumed to have: the known one, or while it refuses
+    /// that one, the newest published version that it has not refused.
     ///
-    /// A guess is never taken for knowledge: an engine two publications behind would be believed to
-    /// have the newest weights for good, refuse what it is sent, and never be ordered to load them.
+    /// The assumption is never stored as known. Otherwise an engine two publications behind would
+    /// count as having the newest weights permanently: it would refuse the requests sent to it and
+    /// never be ordered to load them.
     pub fn version(
         &self,
         id: &UpstreamId,
@@ -357,72 +365,73 @@
     ) -> Option<WeightVersion> {
         let listed = self.listed.get(id)?;
         let known = *listed.entry.versions.get(model)?;
-        let is_doubted = |doubt: &&VersionDoubt| doubt.model == *model && !doubt.until.passed(now);
-        let Some(doubt) = listed.doubt.as_ref().filter(is_doubted) else { return Some(known) };
+        let is_current =
+            |refused: &&RefusedVersions| refused.model == *model && !refused.until.passed(now);
+        let Some(refused) = listed.refused.as_ref().filter(is_current) else { return Some(known) };
         let possible =
-            |version: &&WeightVersion| **version >= known && !doubt.ruled_out.contains(version);
+            |version: &&WeightVersion| **version >= known && !refused.ruled_out.contains(version);
         published.iter().filter(possible).max().copied()
     }
 
-    /// Notes that an upstream loads new weights until about a deadline.
+    /// Notes that an upstream is loading new weights and is expected to finish by a deadline.
     pub fn note_loading(&mut self, id: &UpstreamId, until: Deadline) {
         if let Some(listed) = self.listed.get_mut(id) {
             listed.loading_until = until;
         }
     }
 
-    /// Whether an upstream loads new weights, as far as is known.
+    /// Whether an upstream is believed to be loading new weights.
     pub fn is_loading(&self, id: &UpstreamId, now: Moment) -> bool {
         self.listed.get(id).is_some_and(|listed| !listed.loading_until.passed(now))
     }
 
-    /// Notes that nobody listens at an upstream's address: it gets no work from this daemon until a
-    /// deadline. Its entry lapses only seconds after it ended, and until then each request that went
-    /// there took one of its few tries.
+    /// Notes that an upstream's address refuses connections: this daemon sends it no work until a
+    /// deadline. Its entry lapses only seconds after the crash, and until then each request that
+    /// was sent there would use up one of its few attempts.
     pub fn note_crashed(&mut self, id: &UpstreamId, until: Deadline) {
         if let Some(listed) = self.listed.get_mut(id) {
-            listed.ended_until = until;
+            listed.crashed_until = until;
         }
     }
 
-    /// Whether an upstream has ended, as far as is known.
+    /// Whether an upstream currently counts as crashed.
     pub fn has_crashed(&self, id: &UpstreamId, now: Moment) -> bool {
-        self.listed.get(id).is_some_and(|listed| !listed.ended_until.passed(now))
+        self.listed.get(id).is_some_and(|listed| !listed.crashed_until.passed(now))
     }
 
-    /// Whether new work may go to an upstream; asked right before each send, since choosing one
-    /// and connecting to it take time in which it may have left.
+    /// Whether an upstream is listed and not leaving. To be checked right before each send, since
+    /// it may have started to leave while it was chosen and connected to.
     pub fn may_send(&self, id: &UpstreamId) -> bool {
         self.listed.get(id).is_some_and(|listed| !listed.entry.is_leaving)
     }
 
-    /// An upstream by its id.
+    /// Entry of an upstream; `None` if it is not listed.
     pub fn entry(&self, id: &UpstreamId) -> Option<&UpstreamEntry> {
         self.listed.get(id).map(|listed| &listed.entry)
     }
 
-    /// The upstreams of a service that may get new work: those that have not ended, or all if nobody
-    /// of them listens. Then this daemon may be the one that is cut off, and has to see when it is
-    /// not any more; a refused connection costs nothing.
+    /// Upstreams of a service that may get new work: those that don't count as crashed, or all that
+    /// aren't leaving if every one counts as crashed. In the latter case this daemon may itself be
+    /// cut off, and must notice when it no longer is; a refused connection costs nothing.
     pub fn serving(
         &self,
         service: &ServiceName,
         now: Moment,
     ) -> impl Iterator<Item = &UpstreamEntry> {
         let ids = self.by_service.get(service).map(Vec::as_slice).unwrap_or_default();
-        let is_there = move |listed: &&ListedUpstream| {
-            listed.ended_until.passed(now) && !listed.entry.is_leaving
+        let is_usable = move |listed: &&ListedUpstream| {
+            listed.crashed_until.passed(now) && !listed.entry.is_leaving
         };
         let listed = || ids.iter().filter_map(|id| self.listed.get(id));
-        let is_any_there = listed().any(|listed| is_there(&listed));
+        let is_any_usable = listed().any(|listed| is_usable(&listed));
         listed()
-            .filter(move |listed| !is_any_there || is_there(listed))
+            .filter(move |listed| !is_any_usable || is_usable(listed))
             .map(|listed| &listed.entry)
             .filter(|entry| !entry.is_leaving)
     }
 
-    /// A number that is the same for all daemons that know the same upstreams as serving or
-    /// leaving, whatever order they learnt it in.
+    /// Digest of the listed ids and whether each is leaving; equal on all daemons with the same
+    /// entries, in whatever order these were applied.
     pub fn digest(&self) -> u64 {
         let digest = |listed: &ListedUpstream| {
             let mut hasher = FxHasher::default();
@@ -432,12 +441,12 @@
         self.listed.values().map(digest).fold(0, u64::wrapping_add)
     }
 
-    /// How many upstreams are known.
+    /// Number of listed upstreams, including lapsed ones and those of services not configured.
     pub fn count(&self) -> usize {
         self.listed.len()
     }
 
-    /// All upstreams of services that the configuration names.
+    /// Upstreams of the services that the configuration names; all until one is applied.
     pub fn entries(&self) -> impl Iterator<Item = &UpstreamEntry> {
         let is_named = |entry: &&UpstreamEntry| {
             self.services.as_ref().is_none_or(|services| services.contains(&entry.service))
@@ -453,7 +462,8 @@
     }
 }
 
-/// The list lags behind what upstreams say themselves, and versions only grow.
+/// The higher version of each listed model. The list lags behind what upstreams report themselves,
+/// and versions only grow.
 fn newest_versions(
     known: &FastMap<ModelName, WeightVersion>,
     listed: &FastMap<ModelName, WeightVersion>,
--- a/crates/guava-serve/src/upstreams/work_table.rs
+++ b/crates/guava-serve/src/upstreams/work_table.rs
@@ -1,40 +1,45 @@
-//! What runs and waits at each upstream: this daemon's own work, and what peers say of theirs.
+//! Work in flight at each upstream: this daemon's own, and that reported by its peers.
+//!
+//! Own work is counted from the send to its end. A peer's work counts as last reported, until the
+//! peer has been silent for too long.
 
 use crate::parts::sent_prompt::SentPrompt;
 use guava_policy::{EngineBacklog, LoadTable, UpstreamLoad};
 use guava_types::{Deadline, FastMap, MemberName, Moment, TokenCount, TokenRate, UpstreamId};
 
-/// How much later than expected a healthy engine's first token may come, in milliseconds: behind
-/// prompts that this daemon has not been told of, or while its batch decodes.
+/// How much later than expected the first token of a healthy engine may come, in milliseconds: the
+/// prompt may wait behind prompts that this daemon has no report of, or while a batch decodes.
 ///
-/// Without it engines near by looked two to seven times too slow, since short prompts are expected
-/// in 30 ms and take 250 where a long one is being read; so long prompts went to engines in other
-/// data centres, of which nothing was known, and met there unannounced.
+/// Without this allowance local engines appeared two to seven times too slow: a short prompt is
+/// expected in 30 ms but takes 250 ms while a long one is being read. As a result long prompts went
+/// to remote engines, of which nothing was known, and queued there behind other prompts that this
+/// daemon had no report of.
 const ENGINE_SLACK_MS: f64 = 150.0;
 
-/// What a send is expected to cost its upstream.
+/// Load that a request is expected to cause at its upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ExpectedLoad {
-    /// Prompt tokens to read.
+    /// Prompt tokens to be read.
     pub prompt: TokenCount,
-    /// Memory to take.
+    /// Memory that the run will use.
     pub memory: TokenCount,
-    /// Time to the answer or its first event, in milliseconds.
+    /// Time to the answer, or to its first event, in milliseconds.
     pub answer_ms: f64,
-    /// Part of it in which the prompt is read, in milliseconds.
+    /// Portion of `answer_ms` in which the prompt is read, in milliseconds; 0 if there is no
+    /// prompt.
     pub service_ms: f64,
-    /// Rank at the upstream; 0 goes first.
+    /// Priority at the upstream; 0 is served first.
     pub priority: u8,
 }
 
 /// One daemon's work at one upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WorkShare {
-    /// Prompt tokens that wait to be read.
+    /// Prompt tokens sent and not yet read.
     pub waiting: TokenCount,
-    /// Memory taken until the runs end.
+    /// Memory used until the runs finish.
     pub memory: TokenCount,
-    /// Requests sent and not over.
+    /// Requests in flight.
     pub running: u32,
 }
 
@@ -52,7 +57,7 @@
     }
 }
 
-/// Names a piece of work until it is over.
+/// Identifies a request in flight in the `WorkTable`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkTicket {
     upstream: UpstreamId,
@@ -61,7 +66,7 @@
 }
 
 impl WorkTicket {
-    /// A number that no other piece of this daemon's work has.
+    /// Number of this request, unique within the daemon.
     pub fn number(&self) -> u64 {
         self.number
     }
@@ -73,7 +78,7 @@
     silent_at: Deadline,
 }
 
-/// The work at all upstreams.
+/// Requests in flight at all upstreams, and the load estimates that follow from them.
 #[derive(Debug, Default)]
 pub struct WorkTable {
     loads: LoadTable,
@@ -85,7 +90,8 @@
 }
 
 impl WorkTable {
-    /// Notes work sent to an upstream.
+    /// Notes that a request was sent to an upstream; the returned ticket is to be passed to
+    /// `note_finished`.
     pub fn begin(&mut self, upstream: &UpstreamId, load: &ExpectedLoad, now: Moment) -> WorkTicket {
         let slack_ms = if load.service_ms > 0.0 { ENGINE_SLACK_MS } else { 0.0 };
         let number = self.loads.sent(upstream, load.prompt, load.answer_ms + slack_ms, now);
@@ -99,7 +105,7 @@
         WorkTicket { upstream: upstream.clone(), number, memory: load.memory }
     }
 
-    /// Notes the first part of an answer.
+    /// Notes that the first bytes of the answer arrived.
     pub fn started(&mut self, ticket: &WorkTicket, now: Moment) {
         self.loads.started(&ticket.upstream, ticket.number, now);
         if let Some(backlog) = self.backlogs.get_mut(&ticket.upstream) {
@@ -107,7 +113,7 @@
         }
     }
 
-    /// Notes that work is over, however it ended.
+    /// Notes that a request finished, successfully or not.
     pub fn note_finished(&mut self, ticket: &WorkTicket, now: Moment) {
         self.loads.finished(&ticket.upstream, ticket.number);
         if let Some(backlog) = self.backlogs.get_mut(&ticket.upstream) {
@@ -119,39 +125,39 @@
         }
     }
 
-    /// Milliseconds that a prompt of a priority waits at an engine until it is read itself.
+    /// Milliseconds that a prompt of this priority would wait at an engine before it is read.
     pub fn wait_ms(&self, upstream: &UpstreamId, priority: u8, now: Moment) -> f64 {
         self.backlogs.get(upstream).map_or(0.0, |backlog| backlog.wait_ms(priority, now))
     }
 
-    /// Milliseconds of reading that peers say in sum to have waiting at an engine.
+    /// Milliseconds an engine needs to read all prompts that peers report as waiting there.
     pub fn peers_wait_ms(&self, upstream: &UpstreamId, prefill: TokenRate, now: Moment) -> f64 {
         self.load(upstream).peers_wait_ms(now, prefill)
     }
 
-    /// Whether nothing is known to be read or to wait at an engine.
+    /// Whether no prompt is known to be read or to wait at an engine.
     pub fn is_idle(&self, upstream: &UpstreamId, now: Moment) -> bool {
         self.backlogs.get(upstream).is_none_or(|backlog| backlog.is_idle(now))
     }
 
-    /// Notes that an upstream gave no answer, a broken one, or an error.
+    /// Notes a failed answer of an upstream: none, an interrupted one, or an error.
     pub fn note_failed_answer(&mut self, upstream: &UpstreamId, now: Moment) {
         self.loads.note_failed_answer(upstream, now);
     }
 
-    /// The load of an upstream.
+    /// Load estimate of an upstream; an idle one if nothing is known.
     pub fn load(&self, upstream: &UpstreamId) -> &UpstreamLoad {
         self.loads.find(upstream).unwrap_or(&self.idle_load)
     }
 
-    /// Memory taken and requests running there, of all daemons.
+    /// Memory used and requests in flight at an upstream, of this daemon and all reachable peers.
     pub fn total(&self, upstream: &UpstreamId) -> WorkShare {
         let mut total = self.own.get(upstream).copied().unwrap_or_default();
         total.add(&self.peers_total.get(upstream).copied().unwrap_or_default());
         total
     }
 
-    /// This daemon's own work, for its peers.
+    /// This daemon's work at each upstream where it has requests in flight, for its peers.
     pub fn own_shares(&self) -> impl Iterator<Item = (&UpstreamId, WorkShare)> {
         let busy = self.own.iter().filter(|(_, share)| share.running > 0);
         busy.map(|(id, share)| {
@@ -160,7 +166,8 @@
         })
     }
 
-    /// Takes in what a peer says of its work; it counts until the peer is silent for too long.
+    /// Applies a peer's report of all its work, which replaces its earlier one and counts until
+    /// `silent_at`.
     pub fn note_peer(
         &mut self,
         peer: &MemberName,
@@ -168,7 +175,7 @@
         silent_at: Deadline,
         now: Moment,
     ) {
-        self.forget_peer(peer, now);
+        self.drop_peer(peer, now);
         for (id, share) in &shares {
             self.peers_total.entry(id.clone()).or_default().add(share);
             self.refresh_load(id, now);
@@ -176,8 +183,8 @@
         self.peers.insert(peer.clone(), PeerWork { shares, silent_at });
     }
 
-    /// Takes in that a peer has just sent a prompt that takes so many milliseconds to read, before it
-    /// next says how much it has there.
+    /// Adds a prompt that a peer has just sent and that takes `service_ms` to read; it is counted
+    /// until the peer's next full report replaces it.
     pub fn note_peer_sent(
         &mut self,
         peer: &MemberName,
@@ -194,7 +201,7 @@
         self.refresh_load(&sent.engine, now);
     }
 
-    /// Forgets the work of peers that fell silent, and upstreams that are gone.
+    /// Drops the work of silent peers and the state of upstreams that are no longer known.
     pub fn sweep(&mut self, now: Moment, is_known: impl Fn(&UpstreamId) -> bool) {
         let is_silent = |work: &PeerWork| work.silent_at.passed(now);
         let silent: Vec<MemberName> = self
@@ -203,14 +210,14 @@
             .filter(|(_, work)| is_silent(work))
             .map(|(peer, _)| peer.clone())
             .collect();
-        silent.iter().for_each(|peer| self.forget_peer(peer, now));
+        silent.iter().for_each(|peer| self.drop_peer(peer, now));
         self.loads.retain(&is_known);
         self.backlogs.retain(|id, _| is_known(id));
         self.own.retain(|id, share| share.running > 0 || is_known(id));
         self.peers_total.retain(|id, _| is_known(id));
     }
 
-    fn forget_peer(&mut self, peer: &MemberName, now: Moment) {
+    fn drop_peer(&mut self, peer: &MemberName, now: Moment) {
         let Some(work) = self.peers.remove(peer) else { return };
         for (id, share) in &work.shares {
             if let Some(total) = self.peers_total.get_mut(id) {
