--- a/crates/guava-serve/src/lib.rs
+++ b/crates/guava-serve/src/lib.rs
@@ -94,7 +94,7 @@
 pub use upstreams::work_table::{ExpectedLoad, WorkShare, WorkTable, WorkTicket};
 pub use weights::order_task::OrderTask;
 pub use weights::rollout_state::{VersionRollout, is_salt_unreferenced};
-pub use weights::version_rollout::{RolloutEngine, loads_at_once, next_orders};
+pub use weights::version_rollout::{RolloutEngine, max_concurrent_loads, next_orders};
 pub use weights::version_targets::{
     VersionLimits, VersionTarget, VersionTargets, VersionUse, age_at_start,
 };
--- a/crates/guava-serve/src/members/peer_task.rs
+++ b/crates/guava-serve/src/members/peer_task.rs
@@ -74,7 +74,7 @@
     OwnSummary {
         member: own_note(state),
         loading: state.rollout.borrow().loading(now),
-        loaded: state.rollout.borrow().lately_loaded(now),
+        loaded: state.rollout.borrow().recently_loaded(now),
         followed: state.followed.borrow().clone(),
         number,
     }
--- a/crates/guava-serve/src/weights/rollout_state.rs
+++ b/crates/guava-serve/src/weights/rollout_state.rs
@@ -107,7 +107,7 @@
 
     /// Engines that this daemon lately found to have their weights, for its peers: the list shows
     /// it only with the engine's next heartbeat.
-    pub fn lately_loaded(&self, now: Moment) -> Vec<LoadedVersion> {
+    pub fn recently_loaded(&self, now: Moment) -> Vec<LoadedVersion> {
         let is_late = |state: &EngineState| {
             state.found.is_some_and(|found| now.millis_since(found) < TOLD_MS)
         };
--- a/crates/guava-serve/src/weights/version_rollout.rs
+++ b/crates/guava-serve/src/weights/version_rollout.rs
@@ -39,14 +39,14 @@
 }
 
 /// Loads that may run at the same time among so many engines.
-pub fn loads_at_once(engines: usize) -> usize {
+pub fn max_concurrent_loads(engines: usize) -> usize {
     (engines / ENGINES_PER_LOAD).max(LEAST_AT_ONCE)
 }
 
 /// The engines to order next.
 pub fn next_orders(engines: &[RolloutEngine], now: Moment) -> Vec<UpstreamId> {
     let loading = engines.iter().filter(|engine| engine.is_loading(now)).count();
-    let free = (loads_at_once(engines.len()) + FINISHING).saturating_sub(loading);
+    let free = (max_concurrent_loads(engines.len()) + FINISHING).saturating_sub(loading);
     let mut waiting: Vec<&RolloutEngine> =
         engines.iter().filter(|engine| !engine.is_done && !engine.is_loading(now)).collect();
     waiting.sort_by_key(|engine| (engine.ordered.is_some(), engine.running));
--- a/crates/guava-serve/tests/weights.rs
+++ b/crates/guava-serve/tests/weights.rs
@@ -6,7 +6,8 @@
 
 use guava_serve::{
     RolloutEngine, ServeContext, UpstreamTable, VersionLimits, VersionRollout, VersionTargets,
-    VersionUse, WeightVersion, age_at_start, is_salt_unreferenced, loads_at_once, next_orders,
+    VersionUse, WeightVersion, age_at_start, is_salt_unreferenced, max_concurrent_loads,
+    next_orders,
 };
 use guava_types::Moment;
 use support::{engine, id, model, serve_context};
@@ -100,7 +101,7 @@
 
     let orders = next_orders(&engines, Moment(1_000));
 
-    assert_eq!(loads_at_once(18), 3);
+    assert_eq!(max_concurrent_loads(18), 3);
     assert_eq!(orders.len(), 4);
 }
 
