--- a/crates/guava-serve/src/weights.rs
+++ b/crates/guava-serve/src/weights.rs
@@ -1,4 +1,4 @@
-//! Published weights: which may be used, and who loads them when.
+//! Published weights: which versions requests may use, and the order in which engines load them.
 
 pub(crate) mod order_task;
 pub(crate) mod rollout_state;
--- a/crates/guava-serve/src/weights/version_targets.rs
+++ b/crates/guava-serve/src/weights/version_targets.rs
@@ -1,40 +1,45 @@
-//! Which weights each model should have, and since when that is known.
+//! Published weights of each model, and whether a request may still start on older ones.
+//!
+//! Each version has a moment of publication, as far as this daemon knows. An older version may be
+//! used until a time limit after the publication of its successor.
 
 use crate::upstreams::upstream_table::WeightVersion;
 use guava_types::{FastMap, ModelName, Moment};
 
-/// From this long after a newer version was published, an answer on the older one has less worth,
-/// in milliseconds.
-const FRESH_MS: u64 = 1_500;
-/// How long before the time limit for new weights no request is to start on old ones, in
-/// milliseconds: reading the publication late and slow links must fit in.
+/// Time after the publication of a newer version from which an answer on the older one counts as
+/// stale, in milliseconds.
+const STALE_AFTER_MS: u64 = 1_500;
+/// Margin before the time limit for new weights in which no request may start on old ones, in
+/// milliseconds. It covers a late read of the publication and slow links.
 const CUTOFF_MARGIN_MS: u64 = 1_500;
 
 /// Published weights of one model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VersionTarget {
-    /// The newest version.
+    /// The newest published version.
     pub version: WeightVersion,
-    /// When this daemon learnt of it.
+    /// Earliest moment at which the version is known to have been published, on this daemon's
+    /// clock.
     pub learned: Moment,
 }
 
-/// Age of weights that nobody recorded when they were published, in milliseconds: whoever sees
-/// them first records them at once, so all daemons must have stopped right after it. Starting again
-/// takes about this long.
+/// Assumed age of weights without a record of their publication, in milliseconds.
+///
+/// The first daemon that reads a publication records it at once, so without a record all daemons
+/// must have exited right after the publication. A restart takes about this long.
 const UNRECORDED_AGE_MS: u64 = 2_500;
-/// For how long old weights may still be used where the age is recorded but can't be read, in
-/// milliseconds: only as long as a daemon that just started may be behind.
-const UNREADABLE_LEFT_MS: u64 = 2_000;
+/// Time for which old weights may still be used if the age is recorded but can't be read, in
+/// milliseconds. It is no longer than a daemon that has just started may lag behind.
+const UNREADABLE_AGE_GRACE_MS: u64 = 2_000;
 
-/// How long ago weights were published that a daemon finds when it starts, in milliseconds.
+/// Age of the weights that a daemon finds at its start, in milliseconds since their publication.
 ///
-/// `recorded` is the age by the record of who saw them first: none if there is no record, and none
-/// within if it can't be compared yet.
+/// `recorded` is the age by the record of the daemon that read them first: `None` without a record,
+/// `Some(None)` if the recorded time can't be compared with this daemon's clock yet.
 pub fn age_at_start(recorded: Option<Option<u64>>, limit_ms: u64) -> u64 {
     match recorded {
         None => UNRECORDED_AGE_MS,
-        Some(None) => limit_ms.saturating_sub(CUTOFF_MARGIN_MS + UNREADABLE_LEFT_MS),
+        Some(None) => limit_ms.saturating_sub(CUTOFF_MARGIN_MS + UNREADABLE_AGE_GRACE_MS),
         Some(Some(age_ms)) => age_ms,
     }
 }
@@ -42,86 +47,90 @@
 /// Whether a request may start on some weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionUse {
-    /// The newest that is known.
+    /// No newer version is known.
     Newest,
-    /// Old, and still as good.
+    /// Superseded so recently that it is as good as the newest.
     Older,
-    /// Old, and worth less.
+    /// Superseded for longer; usable, but the newest is preferred.
     Stale,
-    /// Too old.
+    /// The time limit for its successor is reached or about to be; no request may start on it.
     Forbidden,
 }
 
-/// Time limits for new weights, in milliseconds.
+/// Time limits until new weights must be in use everywhere, in milliseconds. Time in which the
+/// store was unavailable doesn't count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VersionLimits {
-    /// In one stretch in which the store was in reach.
+    /// Limit for the time since the publication or the end of the last outage, whichever is later.
     pub stretch_ms: u64,
-    /// In all such stretches.
+    /// Limit for the time since the publication without all outages.
     pub total_ms: u64,
 }
 
-/// A time in which no daemon reached the store.
+/// Interval in which no daemon reached the store.
 #[derive(Clone, Copy, Debug)]
 struct StoreOutage {
     from: Moment,
     until: Moment,
 }
 
-/// The targets of all models; a lower version never replaces a higher one.
+/// Published versions of all models; a lower version never replaces a higher one.
 ///
-/// Engines can't be ordered while the store is away, since nobody can hold the lease. If the time
-/// limit ran on meanwhile, the old weights would be given up with few engines on the new ones, and
-/// most requests refused for as long as the rollout then takes; it counts the time in reach only.
+/// Engines can't be ordered to load weights while the store is unavailable, since no daemon can
+/// hold the lease. If the time limit included that time, the old weights would become unusable
+/// while few engines have the new ones, and most requests would be refused until the rollout is
+/// complete. The limit therefore counts only time in which the store is available.
 #[derive(Debug, Default)]
 pub struct VersionTargets {
     outages: Vec<StoreOutage>,
-    away_since: Option<Moment>,
-    /// By model, newest last.
-    past: FastMap<ModelName, Vec<VersionTarget>>,
+    unavailable_since: Option<Moment>,
+    /// Publications by model, oldest first.
+    publications: FastMap<ModelName, Vec<VersionTarget>>,
 }
 
-/// Publications remembered for each model, newest last: a version is judged from the publication
-/// of the one that follows it.
-const REMEMBERED: usize = 16;
+/// Publications kept for each model, since a version is judged from the publication of its
+/// successor; also the number of outages that are kept.
+const MAX_HISTORY_ENTRIES: usize = 16;
 
 impl VersionTargets {
-    /// Takes in that a version was published by some moment at the latest; whether it is news.
+    /// Records that a version was published at `learned` or earlier; returns whether it is a new
+    /// newest version.
     ///
-    /// A daemon that starts reads the newest version without its age; one that counted from its
-    /// own start would go on using old weights long after the time limit. Peers know better, and
-    /// the earliest moment counts.
+    /// A daemon reads the newest version at its start without its age. If it counted from its own
+    /// start, it would use old weights long after the time limit. Peers may know an earlier moment,
+    /// so the earliest one counts.
     pub fn offer(&mut self, model: &ModelName, version: WeightVersion, learned: Moment) -> bool {
-        let past = self.past.entry(model.clone()).or_default();
-        if let Some(known) = past.iter_mut().find(|target| target.version == version) {
+        let publications = self.publications.entry(model.clone()).or_default();
+        if let Some(known) = publications.iter_mut().find(|target| target.version == version) {
             known.learned = known.learned.min(learned);
             return false;
         }
-        if past.last().is_some_and(|newest| newest.version > version) {
+        if publications.last().is_some_and(|newest| newest.version > version) {
             return false;
         }
-        past.push(VersionTarget { version, learned });
-        if past.len() > REMEMBERED {
-            past.remove(0);
+        publications.push(VersionTarget { version, learned });
+        if publications.len() > MAX_HISTORY_ENTRIES {
+            publications.remove(0);
         }
         true
     }
 
-    /// Notes since when no daemon has reached the store, or that one has.
-    pub fn note_store(&mut self, away_since: Option<Moment>, now: Moment) {
-        let ended = self.away_since.filter(|_| away_since.is_none());
-        if let Some(from) = ended {
+    /// Records since when no daemon has reached the store; `None` means that it is available.
+    pub fn note_store(&mut self, unavailable_since: Option<Moment>, now: Moment) {
+        let outage_start = self.unavailable_since.filter(|_| unavailable_since.is_none());
+        if let Some(from) = outage_start {
             self.outages.push(StoreOutage { from, until: now });
-            if self.outages.len() > REMEMBERED {
+            if self.outages.len() > MAX_HISTORY_ENTRIES {
                 self.outages.remove(0);
             }
         }
-        self.away_since = away_since;
+        self.unavailable_since = unavailable_since;
     }
 
-    /// How much time counts since a moment: in the last stretch, and in all.
-    fn counted(&self, since: Moment, now: Moment) -> (u64, u64) {
-        let present = self.away_since.map(|from| StoreOutage { from, until: now });
+    /// Time since a moment in which the store was available, in milliseconds: since the end of the
+    /// last outage, and in total.
+    fn elapsed_ms(&self, since: Moment, now: Moment) -> (u64, u64) {
+        let present = self.unavailable_since.map(|from| StoreOutage { from, until: now });
         let outages = self.outages.iter().copied().chain(present);
         let mut stretch = now.millis_since(since);
         let mut total = stretch;
@@ -132,24 +141,26 @@
         (stretch, total)
     }
 
-    /// The target of a model, if one was published.
+    /// Newest publication of a model; `None` if no version of it is known.
     pub fn target(&self, model: &ModelName) -> Option<VersionTarget> {
-        self.past.get(model)?.last().copied()
+        self.publications.get(model)?.last().copied()
     }
 
-    /// The published versions of a model, as far as they are remembered.
+    /// Published versions of a model, oldest first; only the last `MAX_HISTORY_ENTRIES` are kept.
     pub fn published(&self, model: &ModelName) -> Vec<WeightVersion> {
-        let past = self.past.get(model).map(Vec::as_slice).unwrap_or_default();
-        past.iter().map(|target| target.version).collect()
+        let publications = self.publications.get(model).map(Vec::as_slice).unwrap_or_default();
+        publications.iter().map(|target| target.version).collect()
     }
 
-    /// All targets.
+    /// Newest publication of each model.
     pub fn iter(&self) -> impl Iterator<Item = (&ModelName, &VersionTarget)> {
-        self.past.iter().filter_map(|(model, past)| Some((model, past.last()?)))
+        self.publications
+            .iter()
+            .filter_map(|(model, publications)| Some((model, publications.last()?)))
     }
 
-    /// Whether a request may start on a version at a moment, where the newest must be in use
-    /// everywhere within time limits.
+    /// Whether a request may start on a version at the moment `start`, given the time limits until
+    /// the newest version must be in use everywhere.
     pub fn judge(
         &self,
         model: &ModelName,
@@ -157,15 +168,15 @@
         limits: VersionLimits,
         start: Moment,
     ) -> VersionUse {
-        let past = self.past.get(model).map(Vec::as_slice).unwrap_or_default();
-        let Some(successor) = past.iter().find(|target| target.version > version) else {
+        let publications = self.publications.get(model).map(Vec::as_slice).unwrap_or_default();
+        let Some(successor) = publications.iter().find(|target| target.version > version) else {
             return VersionUse::Newest;
         };
-        let (stretch, total) = self.counted(successor.learned, start);
-        let is_over = |counted: u64, limit: u64| counted + CUTOFF_MARGIN_MS >= limit;
+        let (stretch, total) = self.elapsed_ms(successor.learned, start);
+        let is_over = |elapsed_ms: u64, limit: u64| elapsed_ms + CUTOFF_MARGIN_MS >= limit;
         if is_over(stretch, limits.stretch_ms) || is_over(total, limits.total_ms) {
             VersionUse::Forbidden
-        } else if start.millis_since(successor.learned) >= FRESH_MS {
+        } else if start.millis_since(successor.learned) >= STALE_AFTER_MS {
             VersionUse::Stale
         } else {
             VersionUse::Older
--- a/crates/guava-serve/tests/order_duty.rs
+++ b/crates/guava-serve/tests/order_task.rs
@@ -1,4 +1,4 @@
-//! Orders to engines, with scripted calls in place of engines and of the lease.
+//! Orders to engines, with scripted ports in place of the engines and of the lease's store.
 
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
@@ -16,33 +16,33 @@
 use support::{engine, id, model, serve_context};
 use tokio::time::sleep;
 
-/// A lease that whoever asks for it gets.
-fn free_lease() -> LeasePort {
+/// A lease that is granted to each daemon that requests it.
+fn granted_lease() -> LeasePort {
     let written = Rc::new(RefCell::new(LeaseUpdate::default()));
     let read = Rc::clone(&written);
     LeasePort {
         read: Rc::new(move |_, _| {
-            let news = read.borrow().clone();
-            Box::pin(async move { Ok(news) })
+            let update = read.borrow().clone();
+            Box::pin(async move { Ok(update) })
         }),
-        request: Rc::new(move |entry, only_at| {
-            *written.borrow_mut() = LeaseUpdate { newest: Some(entry), next: only_at + 1 };
+        request: Rc::new(move |entry, expected_next| {
+            *written.borrow_mut() = LeaseUpdate { newest: Some(entry), next: expected_next + 1 };
             Box::pin(async { Ok(()) })
         }),
     }
 }
 
-/// Engines that report this, and orders that they were given.
+/// Engines that all answer with this report, and the orders that they received.
 fn engines(report: EngineReport) -> (EnginePort, Rc<RefCell<Vec<LoadOrder>>>) {
     let orders = Rc::new(RefCell::new(Vec::new()));
-    let taken = Rc::clone(&orders);
+    let received = Rc::clone(&orders);
     let port = EnginePort {
         report: Rc::new(move |_, _| {
             let report = report.clone();
             Box::pin(async move { Ok(report) })
         }),
         order: Rc::new(move |order| {
-            taken.borrow_mut().push(order);
+            received.borrow_mut().push(order);
             Box::pin(async { Ok(()) })
         }),
     };
@@ -50,11 +50,10 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn engine_that_started_again_is_not_ordered_by_what_it_was_before() {
-    // Symptom: an order takes effect at an engine that it was not meant for.
-    // Sequence: weights are published; the engine crashes and starts again under its name; its
-    // report, which nobody expected to be of another start, comes before its entry.
-    // Cause: the report was taken for one of the engine known here.
+async fn restarted_engine_is_not_ordered_by_its_former_state() {
+    // Guards against an order that takes effect at an engine for which it was not meant. After a
+    // publication the engine crashes and restarts under its name. Its report arrives before its new
+    // entry in the VM list, and was taken for that of the former engine.
     let context = Rc::new(serve_context("d1"));
     let listed = engine("e", 1);
     let before = UpstreamEntry { id: listed.id.started_at(100), ..listed.clone() };
@@ -65,7 +64,7 @@
     let (port, orders) =
         engines(EngineReport { versions, start_ms: Some(200), ..EngineReport::default() });
     let rollout = Rc::new(RefCell::new(VersionRollout::default()));
-    let duty = OrderTask::new(Rc::clone(&context), (free_lease(), port), 0, rollout);
+    let task = OrderTask::new(Rc::clone(&context), (granted_lease(), port), 0, rollout);
 
     let run = async {
         while context.upstreams.borrow().may_send(&before.id) {
@@ -80,8 +79,8 @@
     };
     let was_ordered = tokio::select! {
         was_ordered = run => was_ordered,
-        () = duty.run() => unreachable!("the duty goes on for ever"),
-        () = sleep(Duration::from_secs(20)) => panic!("no order came"),
+        () = task.run() => unreachable!("the order task never returns"),
+        () = sleep(Duration::from_secs(20)) => panic!("no order was sent within 20 s"),
     };
 
     assert!(!was_ordered);
@@ -89,42 +88,41 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn daemon_that_watches_the_lease_learns_of_each_renewal_as_it_is_written() {
-    // Symptom: weights published twice within four seconds are rolled out half a second later, and
-    // prompts are late for as long.
-    // Sequence: the holder is cut off from the store; the others look at its lease every 0.7 s, and
-    // count its end from when they saw the last renewal.
-    // Cause: their reads did not wait for the next renewal.
+async fn standby_learns_of_each_lease_renewal_as_it_is_written() {
+    // Guards against weights published twice within four seconds being rolled out half a second
+    // late, which delays prompts by as much. The holder is cut off from the store. The standbys
+    // read the lease every 0.7 s without waiting for its next renewal, and count its term from the
+    // read that showed them the last one.
     let context = Rc::new(serve_context("d1"));
     context.upstreams.borrow_mut().note_entry(engine("e", 1));
     context.targets.borrow_mut().offer(&model(), WeightVersion(2), Moment::now());
     let waits = Rc::new(RefCell::new(Vec::new()));
-    let asked = Rc::clone(&waits);
+    let recorded_waits = Rc::clone(&waits);
     let held =
         LeaseEntry { holder: Incarnation(9), token: Offset(1), renewed: Offset(1), term_ms: 4_200 };
     let lease = LeasePort {
         read: Rc::new(move |_, wait_ms| {
-            asked.borrow_mut().push(wait_ms);
-            let news = LeaseUpdate { newest: Some(held.clone()), next: 1 };
-            Box::pin(async move { Ok(news) })
+            recorded_waits.borrow_mut().push(wait_ms);
+            let update = LeaseUpdate { newest: Some(held.clone()), next: 1 };
+            Box::pin(async move { Ok(update) })
         }),
         request: Rc::new(|_, _| Box::pin(async { Ok(()) })),
     };
     let (port, _) = engines(EngineReport::default());
-    let duty = OrderTask::new(context, (lease, port), 0, Rc::default());
+    let task = OrderTask::new(context, (lease, port), 0, Rc::default());
 
-    let watched = async {
+    let three_reads = async {
         while waits.borrow().len() < 3 {
             sleep(Duration::from_millis(5)).await;
         }
     };
     tokio::select! {
-        () = watched => {}
-        () = duty.run() => unreachable!("the duty goes on for ever"),
-        () = sleep(Duration::from_secs(20)) => panic!("the lease is not read"),
+        () = three_reads => {}
+        () = task.run() => unreachable!("the order task never returns"),
+        () = sleep(Duration::from_secs(20)) => panic!("the lease was read fewer than 3 times"),
     }
 
     let waits = waits.borrow();
-    assert_eq!(waits[0], 0, "what holds now is not waited for");
-    assert!(waits[1..].iter().all(|wait_ms| *wait_ms > 0), "{waits:?}");
+    assert_eq!(waits[0], 0, "the first read does not wait for a renewal");
+    assert!(waits[1..].iter().all(|wait_ms| *wait_ms > 0), "waits of reads in ms: {waits:?}");
 }
--- a/crates/guava-serve/tests/weights.rs
+++ b/crates/guava-serve/tests/weights.rs
@@ -1,4 +1,4 @@
-//! Published weights: which may be used until when, and how engines get them.
+//! Published weights: until when older versions may be used, and how engines load new ones.
 
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
@@ -25,11 +25,11 @@
 #[parameterized(
     newest = { 2, 109_999, VersionUse::Newest },
     newer_than_known = { 3, 109_999, VersionUse::Newest },
-    old_at_first = { 1, 101_000, VersionUse::Older },
-    old_and_worth_less = { 1, 101_500, VersionUse::Stale },
-    old_just_before_the_limit = { 1, 108_500, VersionUse::Forbidden },
+    just_superseded = { 1, 101_000, VersionUse::Older },
+    superseded_and_stale = { 1, 101_500, VersionUse::Stale },
+    superseded_and_close_to_the_limit = { 1, 108_500, VersionUse::Forbidden },
 )]
-fn weights_are_judged_by_the_time_since_newer_ones(version: u64, at: u64, expected: VersionUse) {
+fn version_is_judged_by_the_time_since_its_successor(version: u64, at: u64, expected: VersionUse) {
     let verdict = targets().judge(&model(), WeightVersion(version), LIMITS, Moment(at));
 
     assert_eq!(verdict, expected);
@@ -37,9 +37,9 @@
 
 #[test]
 fn each_version_is_judged_from_the_publication_of_its_successor() {
-    // Symptom: a request starts on weights 1 long after weights 2 were published.
-    // Sequence: weights 2 are published, and weights 3 some seconds later.
-    // Cause: the time was counted from the newest publication.
+    // Guards against a request that starts on version 1 long after version 2 was published.
+    // Version 3 follows version 2 some seconds later; the time limit of version 1 was then counted
+    // from the newest publication.
     let mut targets = targets();
     targets.offer(&model(), WeightVersion(3), Moment(106_000));
 
@@ -51,27 +51,26 @@
 }
 
 #[test]
-fn earliest_word_of_a_publication_counts() {
-    // Symptom: a daemon that has just started uses old weights past the time limit.
-    // Sequence: it reads the newest version at its start, long after the publication; a peer knows
-    // for how long it has been published.
-    // Cause: the daemon counted from its own start.
+fn earliest_known_publication_counts() {
+    // Guards against a daemon that uses old weights past the time limit after its start. It reads
+    // the newest version long after the publication, whose age a peer knows, and counted the limit
+    // from its own start.
     let mut targets = targets();
 
-    let is_change = targets.offer(&model(), WeightVersion(2), Moment(95_000));
+    let is_new = targets.offer(&model(), WeightVersion(2), Moment(95_000));
 
-    assert!(!is_change);
+    assert!(!is_new);
     let verdict = targets.judge(&model(), WeightVersion(1), LIMITS, Moment(104_000));
     assert_eq!(verdict, VersionUse::Forbidden);
 }
 
 #[test]
-fn age_of_weights_found_at_the_start_comes_from_their_record() {
+fn age_of_weights_at_the_start_comes_from_their_record() {
     assert_eq!(age_at_start(Some(Some(22_000)), LIMIT_MS), 22_000);
 }
 
 #[test]
-fn unreadable_age_leaves_old_weights_only_a_moment() {
+fn unreadable_age_permits_old_weights_only_briefly() {
     let age = age_at_start(Some(None), LIMIT_MS);
 
     let mut targets = VersionTargets::default();
@@ -81,11 +80,11 @@
 }
 
 fn rollout_engine(name: &str, running: u32, ordered: Option<u64>) -> RolloutEngine {
-    RolloutEngine { id: id(name), is_done: false, running, ordered: ordered.map(Moment) }
+    RolloutEngine { id: id(name), is_loaded: false, running, ordered: ordered.map(Moment) }
 }
 
 #[test]
-fn engines_with_the_least_work_load_first() {
+fn engines_with_the_fewest_running_requests_load_first() {
     let busy = rollout_engine("busy", 5, None);
     let idle = rollout_engine("idle", 0, None);
 
@@ -95,7 +94,7 @@
 }
 
 #[test]
-fn only_a_few_engines_load_at_once() {
+fn concurrent_loads_are_limited() {
     let engines: Vec<RolloutEngine> =
         (0..18).map(|index| rollout_engine(&format!("e{index}"), 0, None)).collect();
 
@@ -106,14 +105,14 @@
 }
 
 #[test]
-fn order_without_effect_is_given_again() {
+fn order_without_effect_is_repeated() {
     let engines = [rollout_engine("e", 0, Some(1_000))];
 
     assert!(next_orders(&engines, Moment(5_000)).is_empty());
     assert_eq!(next_orders(&engines, Moment(6_000)), [id("e")]);
 }
 
-fn parts_with_engines(versions: &[(&str, u64)]) -> ServeContext {
+fn context_with_engines(versions: &[(&str, u64)]) -> ServeContext {
     let context = serve_context("d1");
     for (name, version) in versions {
         context.upstreams.borrow_mut().note_entry(engine(name, *version));
@@ -122,14 +121,12 @@
 }
 
 #[test]
-fn engine_at_work_on_an_older_order_is_asked_again_soon() {
-    // Symptom: new weights reach no engine for five seconds, and a request starts on old ones past
-    // the time limit.
-    // Sequence: weights 2 are being loaded when weights 3 are published; the engines that load
-    // have the least work, so they are asked first, and are busy.
-    // Cause: a busy engine was taken for one that had been given the new order, and held one of
-    // the few places for loads until that order expired.
-    let context = parts_with_engines(&[("e", 1)]);
+fn engine_busy_with_an_older_order_is_ordered_again_soon() {
+    // Guards against new weights that reach no engine for five seconds, so that a request starts on
+    // old ones past the time limit. Version 3 is published while engines load version 2. These run
+    // the fewest requests, so they are selected first, and are busy. A busy engine counted as
+    // ordered, and used up one of the few concurrent loads until that order expired.
+    let context = context_with_engines(&[("e", 1)]);
     context.targets.borrow_mut().offer(&model(), WeightVersion(3), Moment(1_000));
     let mut rollout = VersionRollout::default();
     rollout.refresh(&context, Moment(1_000));
@@ -141,13 +138,13 @@
 }
 
 #[test]
-fn rollout_ends_when_all_engines_have_the_weights() {
-    let context = parts_with_engines(&[("a", 2), ("b", 1)]);
+fn rollout_is_complete_when_all_engines_have_loaded_the_weights() {
+    let context = context_with_engines(&[("a", 2), ("b", 1)]);
     context.targets.borrow_mut().offer(&model(), WeightVersion(2), Moment(1_000));
     let mut rollout = VersionRollout::default();
 
     let before = rollout.refresh(&context, Moment(2_000));
-    rollout.note_done(&model(), &id("b"), Moment(2_000));
+    rollout.note_version_loaded(&model(), &id("b"), Moment(2_000));
     let after = rollout.refresh(&context, Moment(2_000));
 
     assert!(before);
@@ -155,15 +152,18 @@
 }
 
 #[parameterized(
-    an_engine_has_them_still = { 1, 120_000, false },
-    published_just_now = { 2, 101_000, false },
-    all_engines_have_newer_ones = { 2, 120_000, true },
+    one_engine_has_the_older_version = { 1, 120_000, false },
+    newer_version_was_just_published = { 2, 101_000, false },
+    all_engines_have_the_newer_version = { 2, 120_000, true },
 )]
-fn parts_are_useless_once_no_request_can_fetch_them(oldest: u64, at: u64, expected: bool) {
-    // Symptom: a request reads a part that is freed under it.
-    // Sequence: weights 2 are published; an engine with weights 1 fetches a part of theirs; the
-    // part is freed, since it belongs to old weights.
-    // Cause: what is old was taken for what nobody uses.
+fn prompt_parts_are_unreferenced_once_no_request_can_fetch_them(
+    oldest: u64,
+    at: u64,
+    expected: bool,
+) {
+    // Guards against a prompt part that is freed while a request reads it. Version 2 is published
+    // while an engine with version 1 fetches a part of version 1. All parts of older versions were
+    // freed, although some were still in use.
     let mut upstreams = UpstreamTable::default();
     upstreams.note_entry(engine("a", 2));
     upstreams.note_entry(engine("b", oldest));
@@ -174,25 +174,24 @@
 }
 
 #[test]
-fn time_in_which_nobody_reached_the_store_does_not_count() {
-    // Symptom: after an outage of the store most requests for a model are refused for ten seconds.
-    // Sequence: new weights are published; the store is away, so nobody can hold the lease and order
-    // engines; the time limit ends, and with it the use of the old weights, which nearly all engines
-    // still have.
-    // Cause: the limit ran on while nothing could be done.
+fn time_in_which_the_store_is_unavailable_does_not_count() {
+    // Guards against most requests for a model being refused for ten seconds after an outage of the
+    // store. New weights are published and the store becomes unavailable, so that no daemon can
+    // hold the lease and order engines. The time limit for the old weights, which nearly all
+    // engines still have, included the outage.
     let mut targets = targets();
     targets.note_store(Some(Moment(102_000)), Moment(105_500));
     targets.note_store(None, Moment(108_000));
 
-    let judged = |at| targets.judge(&model(), WeightVersion(1), LIMITS, Moment(at));
+    let verdict_at = |at| targets.judge(&model(), WeightVersion(1), LIMITS, Moment(at));
 
-    assert_eq!(judged(109_000), VersionUse::Stale);
-    assert_eq!(judged(116_400), VersionUse::Stale);
-    assert_eq!(judged(116_500), VersionUse::Forbidden);
+    assert_eq!(verdict_at(109_000), VersionUse::Stale);
+    assert_eq!(verdict_at(116_400), VersionUse::Stale);
+    assert_eq!(verdict_at(116_500), VersionUse::Forbidden);
 }
 
 #[test]
-fn many_outages_do_not_put_new_weights_off_for_ever() {
+fn total_time_limit_holds_across_several_outages() {
     let mut targets = targets();
     for number in 0..2 {
         let from = 104_000 + number * 5_000;
@@ -200,8 +199,8 @@
         targets.note_store(None, Moment(from + 1_000));
     }
 
-    let judged = |at| targets.judge(&model(), WeightVersion(1), LIMITS, Moment(at));
+    let verdict_at = |at| targets.judge(&model(), WeightVersion(1), LIMITS, Moment(at));
 
-    assert_eq!(judged(114_400), VersionUse::Stale);
-    assert_eq!(judged(114_500), VersionUse::Forbidden);
+    assert_eq!(verdict_at(114_400), VersionUse::Stale);
+    assert_eq!(verdict_at(114_500), VersionUse::Forbidden);
 }
