--- a/crates/guava-serve/src/parts.rs
+++ b/crates/guava-serve/src/parts.rs
@@ -1,4 +1,5 @@
-//! Cached parts of prompts: where they lie, what moves them, and the duty that follows stores.
+//! Prompt parts: the index of where they are cached, their transfers, and the task that follows
+//! stores.
 
 pub(crate) mod cache_salt;
 pub(crate) mod part_index;
--- a/crates/guava-serve/src/parts/cache_salt.rs
+++ b/crates/guava-serve/src/parts/cache_salt.rs
@@ -1,15 +1,15 @@
-//! The text under which upstreams keep cached parts.
+//! The cache salt under which upstreams keep prompt parts.
 //!
-//! Upstreams find a cached part only under the same text, and check nothing else. So whatever must
-//! not share parts has texts that differ: weight versions, since a part computed with other
-//! weights would silently spoil answers, and isolated customers, since cached parts would show one
-//! customer by answers' times what another has asked.
+//! Upstreams look up a cached part by its salt and id, and check nothing else. Requests that must
+//! not share parts therefore get different salts: those of different weight versions, since a part
+//! computed with other weights would silently corrupt answers, and those of isolated customers,
+//! since response times would reveal to one customer what another has asked.
 
 use crate::serve_config::CallerIdentity;
 use crate::upstreams::upstream_table::WeightVersion;
 use guava_types::ModelName;
 
-/// The text for a caller's parts of a model's version.
+/// The salt for a caller's prompt parts: `model/version`, and the customer's name if it is isolated.
 pub fn cache_salt(model: &ModelName, version: WeightVersion, caller: &CallerIdentity) -> Box<str> {
     match caller {
         CallerIdentity::Customer(customer) if customer.is_isolated => {
@@ -19,7 +19,7 @@
     }
 }
 
-/// The model and version of a text made by [`cache_salt`].
+/// The model and version of a salt made by [`cache_salt`]; `None` for any other text.
 pub fn salt_version(salt: &str) -> Option<(&str, WeightVersion)> {
     let mut fields = salt.split('/');
     let model = fields.next()?;
--- a/crates/guava-serve/src/parts/part_index.rs
+++ b/crates/guava-serve/src/parts/part_index.rs
@@ -1,4 +1,7 @@
-//! Where cached parts of prompts lie: in stores as these report it, in engines by what was sent.
+//! Where prompt parts are cached.
+//!
+//! The contents of stores are known from the stores' own reports or from peers that follow them. The
+//! contents of engines are estimated from the prompts that were sent to them.
 
 use crate::parts::part_key::PartKey;
 use crate::parts::save_ledger::{PartSave, SaveLedger};
@@ -11,143 +14,144 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Share of an engine's memory that is taken to hold parts of earlier prompts; the rest is taken
-/// by runs. The engine drops the least recently used parts.
-const CACHE_SHARE: f64 = 0.6;
-/// Prompts remembered for each engine: more than fit into any engine's memory.
-const REMEMBERED: usize = 64;
+/// Fraction of an engine's memory that is assumed to add_part parts of earlier prompts; runs take the
+/// rest. The engine evicts the least recently used parts.
+const CACHE_FRACTION: f64 = 0.6;
+/// Parts recorded for each engine: more than fit into any engine's memory.
+const MAX_ENGINE_PARTS: usize = 64;
 
-/// Parts of which the engine is remembered, and for how long at least, in milliseconds: engines drop
-/// them within some seconds.
-const REMEMBERED_PARTS: usize = 8_192;
+/// Number of parts whose last engine is recorded, and the age in milliseconds from which records may
+/// be removed when there are more: engines evict parts within some seconds.
+const MAX_SENT_PARTS: usize = 8_192;
 const SENT_EXPIRY_MS: u64 = 20_000;
-/// Time after which an engine has read a part that was sent to it, in milliseconds.
-const READ_MS: u64 = 700;
+/// Time in which an engine prefills a part that was sent to it, in milliseconds.
+const PREFILL_MS: u64 = 700;
 
-/// A part that lies whole in a store.
+/// A prompt part that a store holds completely.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeldPart {
-    /// Salt that it was stored under.
+    /// The cache salt that it was stored under.
     pub salt: Box<str>,
-    /// Its id.
+    /// Its id, unique under one salt.
     pub id: Box<str>,
     /// Its length.
     pub tokens: TokenCount,
 }
 
-/// A change that a store reports.
+/// A change of its contents that a store reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PartEvent {
-    /// A part is whole, with its length.
+    /// A part was stored completely.
     Stored(HeldPart),
-    /// A part is gone.
+    /// A part was removed.
     Dropped {
-        /// Salt.
+        /// The part's cache salt.
         salt: Box<str>,
-        /// Id.
+        /// The part's id.
         id: Box<str>,
     },
 }
 
-/// How long a store's word counts, in milliseconds.
+/// Age from which a store's report is ignored, in milliseconds.
 ///
-/// A store that restarts is empty, and others begin to save to it anew. A fetch by older knowledge
-/// would read a part that is only partly written, and nothing in the store prevents it. Stores
-/// are asked twice a second, daemons tell each other four times a second, and a store takes longer
-/// than this to restart.
-const CONFIRMED_MS: u64 = 1_400;
-/// Longest time after a request is sent in which it may begin to fetch, in milliseconds: a store
-/// whose link is busy delivers a long part after more than a second, and given up sooner the part is
-/// read again.
-pub const LONGEST_FETCH_MS: u64 = 2_500;
-/// How long after its restart a store is saved to again, in milliseconds. By then all fetches by what
-/// it held before are over: the word on it was no older than it may be, and none lasts longer. A
-/// fetch that meets a part which is just being written would read half of it.
-const SETTLED_MS: u64 = CONFIRMED_MS + LONGEST_FETCH_MS;
+/// A store that restarts is empty, and daemons start to save to it again. A fetch based on an older
+/// report would read a part that is only partly written, and the store does not prevent this. Stores
+/// are polled twice a second, daemons send updates four times a second, and a store takes longer than
+/// this expiry to restart.
+const REPORT_EXPIRY_MS: u64 = 1_400;
+/// Longest time after a request is sent in which it may begin to fetch, in milliseconds. A store
+/// whose link is busy delivers a long part after more than a second; with a shorter limit the fetch
+/// is abandoned and the part prefilled again.
+pub const MAX_FETCH_MS: u64 = 2_500;
+/// Time after its restart in which a store is not saved to, in milliseconds. Afterwards all fetches
+/// based on its earlier contents have finished, since reports expire and the time of a fetch is
+/// limited. A fetch of a part that is being written would read only a fraction of it.
+const RESTART_SETTLE_MS: u64 = REPORT_EXPIRY_MS + MAX_FETCH_MS;
 
 #[derive(Debug, Default)]
 struct StoreContents {
     epoch: u64,
     confirmed: Moment,
-    /// When the store itself said something to this daemon.
-    heard: Moment,
+    /// When this daemon last received a report from the store itself.
+    reported: Moment,
     held: FastMap<PartKey, TokenCount>,
-    /// Salt and id of parts that the store itself reported; peers only pass keys on.
+    /// Salt and id of parts that the store itself reported; peers send only keys.
     names: FastMap<PartKey, (Box<str>, Box<str>)>,
     used: u64,
-    /// Changes since peers were last told.
-    news: Vec<PartChange>,
+    /// Changes since the last update to peers.
+    changes: Vec<PartChange>,
 }
 
-/// A change in a store, as daemons tell each other.
+/// A change of a store's contents, as daemons exchange it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PartChange {
-    /// Which part.
+    /// Key of the part.
     pub key: PartKey,
-    /// Its length; zero if it is gone.
+    /// Its length; zero if it was removed.
     pub tokens: TokenCount,
 }
 
-/// What a daemon that follows a store tells the others.
+/// What a daemon that follows a store sends to its peers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreUpdate {
-    /// Which store.
+    /// Address of the store.
     pub store: SocketAddr,
-    /// Changes with each restart of the store.
+    /// Differs after each restart of the store.
     pub epoch: u64,
-    /// When the store said so, on this daemon's clock.
+    /// When the store reported it, on this daemon's clock.
     pub as_of: Moment,
-    /// Whether `parts` is all that the store holds.
+    /// Whether `parts` lists the complete contents of the store rather than changes.
     pub is_whole: bool,
-    /// What it holds, or what changed.
+    /// The store's contents or the changes to them.
     pub parts: Vec<PartChange>,
 }
 
 #[derive(Debug, Default)]
-struct EnginePast {
-    /// Prompt tokens sent there so far.
-    passed: u64,
-    /// Parts sent there, newest last, with what had passed by then.
+struct EngineHistory {
+    /// Prompt tokens sent to the engine so far.
+    total: u64,
+    /// Parts sent to the engine, newest last, with the total of tokens sent by then.
     parts: VecDeque<(PartKey, u64)>,
 }
 
-/// One start of a store, and since when it is known here.
+/// One start of a store, and when this daemon first knew of it.
 #[derive(Clone, Copy, Debug)]
 struct StoreStart {
     epoch: u64,
     since: Moment,
 }
 
-/// Where parts lie.
+/// Where prompt parts are cached, and which saves are in flight.
 #[derive(Debug, Default)]
 pub struct PartIndex {
     stores: FastMap<SocketAddr, StoreContents>,
     starts: FastMap<SocketAddr, StoreStart>,
-    engines: FastMap<UpstreamId, EnginePast>,
+    engines: FastMap<UpstreamId, EngineHistory>,
     /// The engine that each part was last sent to, and when.
     last_sent: FastMap<PartKey, (UpstreamId, Moment)>,
     saves: SaveLedger,
 }
 
 impl PartIndex {
-    /// Forgets what a store holds: it can't be reached, or reported a gap.
+    /// Forgets the contents of a store that can't be reached or reported a gap.
     ///
-    /// It may have restarted empty, and its address may stand for another store's contents. A
-    /// fetch from a store that is down costs a request some hundred milliseconds.
+    /// It may have restarted empty, or another store may have its address. A fetch from a store that
+    /// is down delays a request by some hundred milliseconds.
     pub fn forget_store(&mut self, store: SocketAddr) {
         self.stores.remove(&store);
     }
 
-    /// Takes in a store's whole list.
+    /// Replaces a store's contents by the complete list that it reported.
     pub fn note_list(&mut self, store: SocketAddr, epoch: u64, parts: Vec<HeldPart>, now: Moment) {
         self.note_start(store, epoch, now);
         let mut contents =
-            StoreContents { epoch, confirmed: now, heard: now, ..StoreContents::default() };
-        parts.into_iter().for_each(|part| hold_named(&mut contents, part));
+            StoreContents { epoch, confirmed: now, reported: now, ..StoreContents::default() };
+        parts.into_iter().for_each(|part| add_named(&mut contents, part));
         self.stores.insert(store, contents);
     }
 
-    /// Takes in a store's changes; whether they follow on what is known.
+    /// Applies a store's changes. Returns false, and forgets its contents, if the store restarted
+    /// since the last report.
     pub fn note_events(
         &mut self,
         store: SocketAddr,
@@ -164,17 +168,17 @@
         let contents = self.stores.entry(store).or_default();
         contents.epoch = epoch;
         contents.confirmed = now;
-        contents.heard = now;
+        contents.reported = now;
         for event in events {
             match event {
                 PartEvent::Stored(part) => {
                     self.saves.end(&PartKey::new(&part.salt, &part.id));
-                    hold_named(contents, part);
+                    add_named(contents, part);
                 }
                 PartEvent::Dropped { salt, id } => {
                     let key = PartKey::new(&salt, &id);
                     drop_part(contents, &key);
-                    contents.news.push(PartChange { key, tokens: TokenCount(0) });
+                    contents.changes.push(PartChange { key, tokens: TokenCount(0) });
                 }
             }
         }
@@ -188,17 +192,18 @@
         }
     }
 
-    /// Whether a store may be saved to, as far as its last start goes.
+    /// Whether its last start was long enough ago for saves to a store.
     ///
-    /// One that holds a part was found settled by whoever saved it; so daemons that start while the
-    /// stores go on need not wait, and don't have the parts read again by everybody.
+    /// A store that holds any part counts as settled, since the daemon that saved the part found it
+    /// so. Daemons that start while the stores keep running therefore need not wait, which would have
+    /// engines prefill the parts again.
     fn is_settled(&self, store: SocketAddr, now: Moment) -> bool {
         let holds_any = self.stores.get(&store).is_some_and(|contents| !contents.held.is_empty());
         let start = self.starts.get(&store);
-        holds_any || start.is_some_and(|start| now.millis_since(start.since) >= SETTLED_MS)
+        holds_any || start.is_some_and(|start| now.millis_since(start.since) >= RESTART_SETTLE_MS)
     }
 
-    /// The store among these that holds a part whole.
+    /// The first of these stores that holds a complete part, by a report that is not expired.
     pub fn holder<'a>(
         &self,
         stores: &'a [Rc<StoreTraits>],
@@ -216,12 +221,13 @@
 
     fn confirmed(&self, store: SocketAddr, now: Moment) -> Option<&StoreContents> {
         let contents = self.stores.get(&store)?;
-        (now.millis_since(contents.confirmed) <= CONFIRMED_MS).then_some(contents)
+        (now.millis_since(contents.confirmed) <= REPORT_EXPIRY_MS).then_some(contents)
     }
 
-    /// The store that a part should be saved to: of those with room the one that its key and the
-    /// stores' sizes and links choose, so that all daemons choose the same. By size alone the large
-    /// stores with slow links would get most, and fetches wait for each other there.
+    /// The store that a part should be saved to; `None` if it is stored, is being saved, or finds no
+    /// capacity. Among stores with capacity, rendezvous hashing weighted by memory and link rate
+    /// selects one, so all daemons select the same. Weighted by memory alone, large stores with slow
+    /// links would get most parts, and fetches would queue there.
     pub fn store_for<'a>(
         &self,
         stores: &'a [Rc<StoreTraits>],
@@ -230,7 +236,7 @@
         now: Moment,
     ) -> Option<&'a Rc<StoreTraits>> {
         let key = PartKey::new(salt, &part.id);
-        if self.saves.is_under_way(&key, now) || self.holder(stores, salt, part, now).is_some() {
+        if self.saves.is_in_flight(&key, now) || self.holder(stores, salt, part, now).is_some() {
             return None;
         }
         let has_capacity = |store: &&Rc<StoreTraits>| {
@@ -248,12 +254,12 @@
         stores.iter().filter(has_capacity).max_by(|a, b| weight(a).total_cmp(&weight(b)))
     }
 
-    /// Notes that a part is being saved, by this daemon's order or a peer's.
+    /// Records a save that this daemon or a peer ordered.
     pub fn note_saving(&mut self, save: PartSave, now: Moment) {
         self.saves.begin(save, now);
     }
 
-    /// Notes a prompt sent to an engine, by this daemon or a peer.
+    /// Records a prompt that this daemon or a peer sent to an engine.
     pub fn note_sent(
         &mut self,
         engine: &UpstreamId,
@@ -261,23 +267,23 @@
         tokens: TokenCount,
         now: Moment,
     ) {
-        if self.last_sent.len() + parts.len() > REMEMBERED_PARTS {
+        if self.last_sent.len() + parts.len() > MAX_SENT_PARTS {
             self.last_sent.retain(|_, (_, sent)| now.millis_since(*sent) < SENT_EXPIRY_MS);
         }
         for part in parts {
             self.last_sent.insert(*part, (engine.clone(), now));
         }
-        let past = self.engines.entry(engine.clone()).or_default();
-        past.passed += tokens.0;
-        let passed = past.passed;
-        past.parts.retain(|(key, _)| !parts.contains(key));
-        past.parts.extend(parts.iter().map(|key| (*key, passed)));
-        while past.parts.len() > REMEMBERED {
-            past.parts.pop_front();
+        let history = self.engines.entry(engine.clone()).or_default();
+        history.total += tokens.0;
+        let total = history.total;
+        history.parts.retain(|(key, _)| !parts.contains(key));
+        history.parts.extend(parts.iter().map(|key| (*key, total)));
+        while history.parts.len() > MAX_ENGINE_PARTS {
+            history.parts.pop_front();
         }
     }
 
-    /// Tokens at a prompt's beginning that an engine is believed to hold.
+    /// Estimated tokens of a prompt's leading parts that an engine holds.
     pub fn resident(
         &self,
         engine: &UpstreamId,
@@ -285,17 +291,18 @@
         salt: &str,
         parts: &[PromptPart],
     ) -> TokenCount {
-        let Some(past) = self.engines.get(engine) else { return TokenCount(0) };
-        let kept = (memory.0 as f64 * CACHE_SHARE) as u64;
+        let Some(history) = self.engines.get(engine) else { return TokenCount(0) };
+        let kept = (memory.0 as f64 * CACHE_FRACTION) as u64;
         let is_kept = |part: &&PromptPart| {
             let key = PartKey::new(salt, &part.id);
-            let sent = past.parts.iter().rev().find(|(other, _)| *other == key);
-            sent.is_some_and(|(_, passed)| past.passed - passed + part.tokens.0 <= kept)
+            let sent = history.parts.iter().rev().find(|(other, _)| *other == key);
+            sent.is_some_and(|(_, total)| history.total - total + part.tokens.0 <= kept)
         };
         TokenCount(parts.iter().take_while(is_kept).map(|part| part.tokens.0).sum())
     }
 
-    /// The engine that is believed to hold a part, and to have read it by now.
+    /// The engine that a part was last sent to, if by estimate it has prefilled the part and still
+    /// holds it.
     pub fn engine_with(
         &self,
         memory: TokenCount,
@@ -304,18 +311,19 @@
         now: Moment,
     ) -> Option<&UpstreamId> {
         let (engine, sent) = self.last_sent.get(&PartKey::new(salt, &part.id))?;
-        let is_read = now.millis_since(*sent) >= READ_MS;
+        let is_prefilled = now.millis_since(*sent) >= PREFILL_MS;
         let resident = self.resident(engine, memory, salt, std::slice::from_ref(part));
-        (is_read && resident.0 > 0).then_some(engine)
+        (is_prefilled && resident.0 > 0).then_some(engine)
     }
 
-    /// Forgets engines that are gone.
+    /// Removes engines for which `is_known` is false.
     pub fn retain_engines(&mut self, is_known: impl Fn(&UpstreamId) -> bool) {
         self.engines.retain(|id, _| is_known(id));
         self.last_sent.retain(|_, (id, _)| is_known(id));
     }
 
-    /// Parts in a store whose salt is of no use any more, with the store's epoch.
+    /// The store's epoch and those of its parts whose salt is unreferenced. Only parts that the store
+    /// itself reported are listed.
     pub fn unreferenced_parts(
         &self,
         store: SocketAddr,
@@ -331,18 +339,19 @@
         (contents.epoch, named.map(part).collect())
     }
 
-    /// What to tell peers of a store that this daemon follows: all of it, or what changed.
+    /// The update for peers on a store that this daemon follows: its complete contents, or the changes
+    /// since the last call.
     pub fn store_update(&mut self, store: SocketAddr, is_whole: bool) -> Option<StoreUpdate> {
         let contents = self.stores.get_mut(&store)?;
-        let news = std::mem::take(&mut contents.news);
+        let changes = std::mem::take(&mut contents.changes);
         if is_whole {
             return self.full_store_update(store);
         }
         let (epoch, as_of) = (contents.epoch, contents.confirmed);
-        Some(StoreUpdate { store, epoch, as_of, is_whole, parts: news })
+        Some(StoreUpdate { store, epoch, as_of, is_whole, parts: changes })
     }
 
-    /// All that a store holds, for a peer that has just been heard.
+    /// The complete contents of a store, for the initial sync with a new peer.
     pub fn full_store_update(&self, store: SocketAddr) -> Option<StoreUpdate> {
         let contents = self.stores.get(&store)?;
         let held = contents.held.iter();
@@ -351,45 +360,47 @@
         Some(StoreUpdate { store, epoch, as_of, is_whole: true, parts })
     }
 
-    /// Takes in what a peer says of a store that it follows; what the store says itself goes first.
-    pub fn note_store_update(&mut self, word: StoreUpdate, now: Moment) {
-        let heard = self.stores.get(&word.store).map(|contents| contents.heard);
-        if heard.is_some_and(|heard| word.as_of.millis_since(heard) <= CONFIRMED_MS) {
+    /// Applies a peer's update on a store that it follows, unless this daemon has a fresh report from
+    /// the store itself.
+    pub fn note_store_update(&mut self, update: StoreUpdate, now: Moment) {
+        let reported = self.stores.get(&update.store).map(|contents| contents.reported);
+        if reported.is_some_and(|reported| update.as_of.millis_since(reported) <= REPORT_EXPIRY_MS)
+        {
             return;
         }
-        let known = self.stores.get(&word.store).map(|contents| contents.epoch);
-        if known != Some(word.epoch) {
-            if self.stores.get(&word.store).is_some_and(|known| known.confirmed > word.as_of) {
+        let known = self.stores.get(&update.store).map(|contents| contents.epoch);
+        if known != Some(update.epoch) {
+            if self.stores.get(&update.store).is_some_and(|known| known.confirmed > update.as_of) {
                 return;
             }
-            self.stores.remove(&word.store);
+            self.stores.remove(&update.store);
         }
-        self.note_start(word.store, word.epoch, now);
-        let contents = self.stores.entry(word.store).or_default();
-        contents.epoch = word.epoch;
-        if word.is_whole && word.as_of >= contents.confirmed {
+        self.note_start(update.store, update.epoch, now);
+        let contents = self.stores.entry(update.store).or_default();
+        contents.epoch = update.epoch;
+        if update.is_whole && update.as_of >= contents.confirmed {
             contents.held.clear();
             contents.names.clear();
             contents.used = 0;
         }
-        contents.confirmed = contents.confirmed.max(word.as_of);
-        for news in word.parts {
-            self.saves.end(&news.key);
-            if news.tokens.0 > 0 {
-                hold(contents, news);
+        contents.confirmed = contents.confirmed.max(update.as_of);
+        for change in update.parts {
+            self.saves.end(&change.key);
+            if change.tokens.0 > 0 {
+                add_part(contents, change);
             } else {
-                drop_part(contents, &news.key);
+                drop_part(contents, &change.key);
             }
         }
     }
 
-    /// Tokens that a store holds, if that is known.
+    /// Tokens that a store holds; `None` if its contents are unknown.
     pub fn used(&self, store: SocketAddr) -> Option<TokenCount> {
         self.stores.get(&store).map(|contents| TokenCount(contents.used))
     }
 }
 
-fn hold(contents: &mut StoreContents, part: PartChange) {
+fn add_part(contents: &mut StoreContents, part: PartChange) {
     contents.used += part.tokens.0;
     if let Some(before) = contents.held.insert(part.key, part.tokens) {
         contents.used = contents.used.saturating_sub(before.0);
@@ -403,21 +414,21 @@
     }
 }
 
-/// Holds a part that the store itself reported.
-fn hold_named(contents: &mut StoreContents, part: HeldPart) {
+/// Adds a part that the store itself reported, with its salt and id.
+fn add_named(contents: &mut StoreContents, part: HeldPart) {
     let key = PartKey::new(&part.salt, &part.id);
-    let news = PartChange { key, tokens: part.tokens };
-    hold(contents, news);
-    contents.news.push(news);
+    let change = PartChange { key, tokens: part.tokens };
+    add_part(contents, change);
+    contents.changes.push(change);
     contents.names.insert(key, (part.salt, part.id));
 }
 
-/// Weight of a choice in weighted rendezvous hashing: the highest wins, and each is chosen in
-/// proportion to its size.
+/// Weight of a choice in weighted rendezvous hashing: the highest wins, and each wins in proportion
+/// to its size.
 pub fn rendezvous_weight(choice: &impl Hash, size: f64) -> f64 {
     let mut hasher = FxHasher::default();
     choice.hash(&mut hasher);
-    // The fast hasher leaves its low bits poorly mixed; a multiplicative mix spreads them.
+    // FxHasher mixes the low bits poorly; a multiplication spreads them.
     let mixed = (hasher.finish() ^ (hasher.finish() >> 32)).wrapping_mul(0x9E37_79B9_7F4A_7C15);
     let unit = ((mixed >> 11) as f64 + 1.0) / (1_u64 << 53) as f64;
     -size / unit.min(1.0 - f64::EPSILON).ln()
--- a/crates/guava-serve/src/parts/part_key.rs
+++ b/crates/guava-serve/src/parts/part_key.rs
@@ -1,14 +1,16 @@
-//! The key of a cached part of a prompt.
+//! The key of a prompt part.
+//!
+//! All daemons compute the same key from a salt and an id, so messages carry keys only.
 
 use rustc_hash::FxHasher;
 use std::hash::{Hash, Hasher};
 
-/// One part under one salt.
+/// A hash of one part's salt and id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct PartKey(pub u64);
 
 impl PartKey {
-    /// The key of a part.
+    /// Hashes a salt and a part's id.
     pub fn new(salt: &str, id: &str) -> Self {
         let mut hasher = FxHasher::default();
         salt.hash(&mut hasher);
--- a/crates/guava-serve/src/parts/part_task.rs
+++ b/crates/guava-serve/src/parts/part_task.rs
@@ -1,4 +1,6 @@
-//! Follows the stores of cached parts, and frees what is of no use in them.
+//! The task that follows the part stores and frees unreferenced parts in them.
+//!
+//! Following a store means to poll it for changes and keep the part index up to date with them.
 
 use crate::events;
 use crate::members::shared_reads::read_as_of;
@@ -14,27 +16,31 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-/// Wait of one call for changes, in milliseconds. Calls that wait at least 200 ms are free.
-const WAIT_MS: u64 = 500;
-/// Pause after a failed call, in milliseconds.
-const FAILED_PAUSE_MS: u64 = 300;
-/// Pause between two looks at which stores there are, in milliseconds.
-const LOOK_PAUSE_MS: u64 = 500;
-/// The same until there is a configuration, in milliseconds: a daemon that has just started reads it
-/// within a few calls, and prompts that it takes before it follows the stores are read anew. After all
-/// daemons started together, those of half a second were.
-const FIRST_LOOK_PAUSE_MS: u64 = 25;
-/// Parts freed in one call.
-const FREED_AT_ONCE: usize = 200;
-/// How long a call to free parts may be under way, in milliseconds.
-const FREE_MS: u64 = 1_000;
+/// How long one call for changes waits for them, in milliseconds. Calls that wait at least 200 ms are
+/// free.
+const EVENTS_WAIT_MS: u64 = 500;
+/// Delay after a failed call, in milliseconds.
+const RETRY_DELAY_MS: u64 = 300;
+/// Interval between two checks which stores are configured, in milliseconds.
+const CHECK_INTERVAL_MS: u64 = 500;
+/// The same interval until there is a configuration, in milliseconds. A daemon that has just started
+/// reads it within a few calls, and prompts that it accepts before it follows the stores are prefilled
+/// without cached parts. With the longer interval, those of half a second were, after all daemons
+/// started together.
+const STARTUP_CHECK_INTERVAL_MS: u64 = 25;
+/// Number of parts freed in one call.
+const MAX_FREED_PARTS: usize = 200;
+/// Timeout of a call to free parts, in milliseconds.
+const FREE_TIMEOUT_MS: u64 = 1_000;
 
-/// Daemons of each data centre that follow one store, where there are few data centres or many:
-/// a store answers only about a dozen at a time.
-const FOLLOWERS: usize = 2;
+/// Number of daemons in each data centre that follow one store if there are at most
+/// [`FEW_DATA_CENTRES`]; with more data centres it is one in each, since a store answers only about a
+/// dozen calls at a time.
+const FOLLOWERS_PER_DATA_CENTRE: usize = 2;
 const FEW_DATA_CENTRES: usize = 4;
 
-/// Follows those of the stores that the configuration names that are this daemon's turn, for ever.
+/// Endless task: follows those configured stores for which this daemon's rank is low enough, lists
+/// them in `followed`, and frees unreferenced parts.
 pub async fn follow_stores(
     context: Rc<ServeContext>,
     port: Rc<PartPort>,
@@ -44,13 +50,14 @@
     loop {
         let config = context.config.borrow().current().cloned();
         if let Some(config) = config {
-            let named: Vec<SocketAddr> = config.stores.iter().map(|store| store.address).collect();
+            let configured: Vec<SocketAddr> =
+                config.stores.iter().map(|store| store.address).collect();
             let now = Moment::now();
             let is_few = context.members.borrow().data_centres(now) <= FEW_DATA_CENTRES;
-            let followers_near = if is_few { FOLLOWERS } else { 1 };
-            let own: Vec<SocketAddr> = named
+            let local_followers = if is_few { FOLLOWERS_PER_DATA_CENTRE } else { 1 };
+            let own: Vec<SocketAddr> = configured
                 .into_iter()
-                .filter(|store| local_rank(&context, *store, now) < followers_near)
+                .filter(|store| local_rank(&context, *store, now) < local_followers)
                 .collect();
             followers.retain(|address, follower| {
                 let is_kept = own.contains(address);
@@ -68,20 +75,20 @@
                 followers.entry(address).or_insert_with(start);
             }
         }
-        free_useless(&context, &port).await;
+        free_unreferenced(&context, &port).await;
         let is_configured = context.config.borrow().current().is_some();
-        let pause_ms = if is_configured { LOOK_PAUSE_MS } else { FIRST_LOOK_PAUSE_MS };
-        sleep(Duration::from_millis(pause_ms)).await;
+        let interval_ms = if is_configured { CHECK_INTERVAL_MS } else { STARTUP_CHECK_INTERVAL_MS };
+        sleep(Duration::from_millis(interval_ms)).await;
     }
 }
 
-/// This daemon's place among those of its data centre that may follow a store.
+/// This daemon's rank among those of its data centre that may follow a store.
 fn local_rank(context: &ServeContext, store: SocketAddr, now: Moment) -> usize {
     context.members.borrow().local_rank(&context.identity.name, &store.to_string(), now)
 }
 
-/// This daemon's place among all that may free parts in a store.
-fn turn(context: &ServeContext, store: SocketAddr, now: Moment) -> usize {
+/// This daemon's rank among all daemons that may free parts in a store.
+fn free_rank(context: &ServeContext, store: SocketAddr, now: Moment) -> usize {
     context.members.borrow().rank(&context.identity.name, &store.to_string(), now)
 }
 
@@ -90,7 +97,7 @@
     let mut is_known = false;
     loop {
         let was_known = is_known;
-        match follow_once(&context, &port, store, &mut since).await {
+        match poll_once(&context, &port, store, &mut since).await {
             Ok(is_followed) => is_known = is_followed,
             Err(error) => {
                 is_known = false;
@@ -99,7 +106,7 @@
                 if was_known {
                     log_event!(warn, events::STORE_FORGOTTEN, store = store, reason = error);
                 }
-                sleep(Duration::from_millis(FAILED_PAUSE_MS)).await;
+                sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
             }
         }
         if is_known && !was_known {
@@ -108,15 +115,15 @@
     }
 }
 
-/// Takes one report in; whether the store's contents are known after it.
-async fn follow_once(
+/// Polls a store once and applies its report. Returns whether the store's contents are known then.
+async fn poll_once(
     context: &ServeContext,
     port: &PartPort,
     store: SocketAddr,
     since: &mut u64,
 ) -> Result<bool, PortError> {
-    let asked = Moment::now();
-    let report = (port.events)(store, *since, WAIT_MS).await?;
+    let requested = Moment::now();
+    let report = (port.events)(store, *since, EVENTS_WAIT_MS).await?;
     let now = Moment::now();
     if let Some(clock_ms) = report.clock_ms {
         context.upstream_clock.set(Some(UpstreamClock { clock_ms, read: now }));
@@ -124,14 +131,14 @@
     if report.is_gapped {
         context.part_index.borrow_mut().forget_store(store);
         let list = (port.list)(store).await?;
-        context.part_index.borrow_mut().note_list(store, list.epoch, list.held, asked);
+        context.part_index.borrow_mut().note_list(store, list.epoch, list.held, requested);
         *since = list.next;
         return Ok(true);
     }
-    let as_of = read_as_of(asked, WAIT_MS, report.events.is_empty(), now);
+    let as_of = read_as_of(requested, EVENTS_WAIT_MS, report.events.is_empty(), now);
     let mut index = context.part_index.borrow_mut();
     if !index.note_events(store, report.epoch, report.events, as_of) {
-        // It restarted, so its numbers begin anew.
+        // The store restarted, so its event numbers start again.
         *since = 0;
         return Ok(false);
     }
@@ -139,23 +146,23 @@
     Ok(true)
 }
 
-/// Frees parts of weights that no engine has any more, in the stores that are this daemon's turn.
-async fn free_useless(context: &ServeContext, port: &PartPort) {
+/// Frees parts whose weights no engine has any more, in the stores for which this daemon has rank 0.
+async fn free_unreferenced(context: &ServeContext, port: &PartPort) {
     let Some(config) = context.config.borrow().current().cloned() else { return };
     for store in config.stores.iter().filter(|store| store.is_managed) {
         let now = Moment::now();
-        if turn(context, store.address, now) > 0 {
+        if free_rank(context, store.address, now) > 0 {
             continue;
         }
-        let (epoch, useless) = {
+        let (epoch, unreferenced) = {
             let upstreams = context.upstreams.borrow();
             let targets = context.targets.borrow();
             let is_unreferenced =
                 |salt: &str| is_salt_unreferenced(salt, &upstreams, &targets, now);
             context.part_index.borrow().unreferenced_parts(store.address, is_unreferenced)
         };
-        for chunk in useless.chunks(FREED_AT_ONCE) {
-            let until_ms = context.upstream_clock_in(FREE_MS, now);
+        for chunk in unreferenced.chunks(MAX_FREED_PARTS) {
+            let until_ms = context.upstream_clock_in(FREE_TIMEOUT_MS, now);
             let order = FreeOrder { store: store.address, epoch, parts: chunk.to_vec(), until_ms };
             match (port.free)(order).await {
                 Ok(()) => log_event!(
--- a/crates/guava-serve/src/parts/part_transfers.rs
+++ b/crates/guava-serve/src/parts/part_transfers.rs
@@ -1,12 +1,12 @@
-//! Which cached parts of a prompt are fetched from where, and saved where.
+//! Plans the fetches and saves of prompt parts.
 //!
-//! How long a fetch takes depends on the engine that is to have the parts: on what it holds already,
-//! and on whether it stands in the source's data centre. So sources are looked up once a prompt, and
-//! reckoned for each engine.
+//! How long a fetch takes depends on the engine that fetches: on the parts that it already holds, and
+//! on whether it is in the source's data centre. Sources are therefore looked up once per prompt, and
+//! their costs computed for each engine.
 
 use crate::parts::cache_salt::cache_salt;
-use crate::parts::part_index::LONGEST_FETCH_MS;
-use crate::parts::store_links::{FetchWait, REMOTE_TIMES, StoreTransfer, transfer_ms};
+use crate::parts::part_index::MAX_FETCH_MS;
+use crate::parts::store_links::{FetchWait, REMOTE_FACTOR, StoreTransfer, transfer_ms};
 use crate::request::accepted_request::{PromptPart, PromptShape};
 use crate::request::engine_input::EngineInput;
 use crate::upstreams::upstream_table::{UpstreamEntry, WeightVersion};
@@ -14,76 +14,79 @@
 use guava_types::{ByteCount, DataCentre, LinkRate, TokenCount, UpstreamId};
 use std::net::SocketAddr;
 
-/// Parts shorter than this are neither saved nor fetched for their own sake: an engine reads them
-/// while a transfer begins. A shorter part before a longer one goes with it, since engines use a part
-/// only if all before it are there.
-const LEAST_TRANSFER: TokenCount = TokenCount(128);
-/// A fetch may take so many times as long as reading instead would, by the weights of the choice: a
-/// part that is read again takes an engine from everybody.
-const FETCH_TIMES: f64 = 2.0;
-/// Least time for a fetch, in milliseconds: what waits at a store's link is not all known.
-const SHORTEST_FETCH_MS: f64 = 1_000.0;
-/// Most time for a fetch, in times of reading instead: behind long parts on a busy link a short
-/// prompt would be late for what an engine reads in some milliseconds.
-const MOST_READ_TIMES: f64 = 12.0;
+/// Parts shorter than this are neither saved nor fetched for their own sake: an engine prefills them
+/// while a transfer begins. A shorter part before a longer one is transferred with it, since engines
+/// use a part only if they hold all parts before it.
+const MIN_TRANSFER_TOKENS: TokenCount = TokenCount(128);
+/// Time budget of a fetch, as a multiple of the import budget of the engine's cost, from which
+/// prefilling instead would be cheaper: prefilling a part again takes engine time from all requests.
+const FETCH_BUDGET_FACTOR: f64 = 2.0;
+/// Lower bound of a fetch's time budget, in milliseconds: not all transfers that wait at a store's
+/// link are known.
+const MIN_FETCH_BUDGET_MS: f64 = 1_000.0;
+/// Upper bound of a fetch's time budget, as a multiple of the time to prefill instead: behind long
+/// parts on a busy link, a short prompt would be late for parts that an engine prefills in some
+/// milliseconds.
+const MAX_PREFILL_FACTOR: f64 = 12.0;
 /// Time before the first byte from another engine, in milliseconds: a few hops.
 const ENGINE_FIRST_BYTE_MS: f64 = 3.0;
 
-/// Where an engine gets the parts of a prompt from.
+/// The sources from which an engine fetches the parts of a prompt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FetchPlan {
-    /// For each part where to fetch it from.
+    /// For each part of the prompt the address of its source; `None` if it is not fetched.
     pub sources: Vec<Option<SocketAddr>>,
-    /// How long it may take, in milliseconds.
+    /// Longest time that the fetch may take, in milliseconds.
     pub budget_ms: u64,
-    /// Tokens that it brings.
+    /// Tokens of all parts that have a source.
     pub tokens: TokenCount,
-    /// What it waits for at the links of stores.
+    /// The expected wait for the links of stores.
     pub wait: FetchWait,
 }
 
-/// Where one part can be fetched from.
+/// A store or engine from which one part can be fetched.
 struct PartSource<'a> {
     address: SocketAddr,
     data_centre: &'a DataCentre,
     tokens: TokenCount,
-    /// Milliseconds before its first byte, the wait for its link included.
+    /// Milliseconds before the first byte, including the wait for the link.
     begin_ms: f64,
-    /// Milliseconds from then on, to an engine in its data centre.
+    /// Milliseconds from the first byte to the last, for an engine in the source's data centre.
     transfer_ms: f64,
 }
 
 impl PartSource<'_> {
-    /// Milliseconds until an engine in a data centre has it.
+    /// Milliseconds until an engine in `centre` has received the part.
     fn ready_ms(&self, centre: &DataCentre) -> f64 {
-        let times = if self.data_centre == centre { 1.0 } else { REMOTE_TIMES };
-        self.begin_ms + times * self.transfer_ms
+        let factor = if self.data_centre == centre { 1.0 } else { REMOTE_FACTOR };
+        self.begin_ms + factor * self.transfer_ms
     }
 }
 
-/// What stores and engines hold of a prompt under one salt.
+/// The sources of a prompt's parts under one salt.
 pub(crate) struct SaltOffer<'a> {
-    /// The salt.
+    /// Salt of the prompt's model, weight version and caller.
     pub(crate) salt: Box<str>,
-    /// Sources of the leading parts; a part helps only if all before it are there.
+    /// Sources of the leading parts: engines use a part only if they hold all parts before it.
     sources: Vec<PartSource<'a>>,
 }
 
-/// The shared parts of a prompt; the last part is its own.
+/// The parts that a prompt may share with others: all but its last.
 pub(crate) fn shared_parts(prompt: &PromptShape) -> &[PromptPart] {
     let shared = prompt.parts.len().saturating_sub(1);
     &prompt.parts[..shared]
 }
 
-/// The leading shared parts that are worth a transfer: up to the last long one.
-fn moved_parts(prompt: &PromptShape) -> &[PromptPart] {
+/// The leading shared parts that are worth a transfer, up to the last long one.
+fn transferable_parts(prompt: &PromptShape) -> &[PromptPart] {
     let shared = shared_parts(prompt);
-    let last_long = shared.iter().rposition(|part| part.tokens >= LEAST_TRANSFER);
+    let last_long = shared.iter().rposition(|part| part.tokens >= MIN_TRANSFER_TOKENS);
     &shared[..last_long.map_or(0, |index| index + 1)]
 }
 
-/// The store that holds a part, or else the engine that read it last: the part may be on its way to
-/// a store, or its store may have lost it. An engine that has dropped it costs a millisecond.
+/// The store that holds a part, or else the engine that prefilled it last: the save of the part may
+/// be in flight, or its store may have lost it. A fetch from an engine that has evicted the part costs
+/// about a millisecond.
 fn source_for<'a>(
     input: &EngineInput<'a>,
     salt: &str,
@@ -98,14 +101,14 @@
     part: &PromptPart,
 ) -> Option<PartSource<'a>> {
     let store = input.parts.holder(input.stores, salt, part, input.now)?;
-    let near_ms = transfer_ms(store, part.tokens, input.traits.token_bytes, &store.data_centre);
+    let local_ms = transfer_ms(store, part.tokens, input.traits.token_bytes, &store.data_centre);
     let slowness = input.links.slowness(store.address, input.now);
     Some(PartSource {
         address: store.address,
         data_centre: &store.data_centre,
         tokens: part.tokens,
         begin_ms: input.links.wait_ms(store.address, input.now) + store.first_byte_ms,
-        transfer_ms: (near_ms - store.first_byte_ms) * slowness,
+        transfer_ms: (local_ms - store.first_byte_ms) * slowness,
     })
 }
 
@@ -128,21 +131,21 @@
     (!is_loading).then_some(source)
 }
 
-/// Tokens at the prompt's beginning that an engine is believed to hold.
+/// Estimated tokens of the prompt's leading shared parts that an engine holds.
 pub(crate) fn resident(input: &EngineInput<'_>, engine: &UpstreamId, salt: &str) -> TokenCount {
     input.parts.resident(engine, input.traits.memory, salt, shared_parts(input.prompt))
 }
 
 impl<'a> SaltOffer<'a> {
-    /// What is held under the salt of some weights.
+    /// Looks up the sources of the prompt's parts for a weight version.
     pub(crate) fn new(input: &EngineInput<'a>, version: WeightVersion) -> Self {
         let salt = cache_salt(&input.prompt.model, version, &input.request.caller);
-        let moved = moved_parts(input.prompt).iter();
-        let sources = moved.map_while(|part| source_for(input, &salt, part)).collect();
+        let transferable = transferable_parts(input.prompt).iter();
+        let sources = transferable.map_while(|part| source_for(input, &salt, part)).collect();
         Self { salt, sources }
     }
 
-    /// The sources of parts beyond what an engine holds of the prompt's beginning.
+    /// The sources of the parts after the first `resident` tokens, which an engine already holds.
     fn lacking(&self, resident: TokenCount) -> &[PartSource<'a>] {
         let mut end = 0;
         let is_held = |source: &&PartSource<'_>| {
@@ -153,7 +156,8 @@
         &self.sources[held..]
     }
 
-    /// The import by an engine in a data centre that holds so many tokens already.
+    /// The import by an engine in `centre` that already holds `resident` tokens; `None` if no part has
+    /// a source.
     pub(crate) fn import(
         &self,
         input: &EngineInput<'_>,
@@ -177,7 +181,8 @@
         TokenCount(self.sources.iter().map(|source| source.tokens.0).sum())
     }
 
-    /// What the chosen engine fetches, if that pays.
+    /// The fetch by the chosen engine; `None` if prefilling is cheaper than any import, or if no other
+    /// address is a source.
     pub(crate) fn fetch_plan(
         &self,
         input: &EngineInput<'_>,
@@ -187,28 +192,28 @@
         if !cost.import && !cost.import_if_missing {
             return None;
         }
-        let budget_ms = (cost.import_budget_ms * FETCH_TIMES).max(SHORTEST_FETCH_MS);
-        let budget_ms = budget_ms.min(self.read_ms(input, entry) * MOST_READ_TIMES) as u64;
-        let budget_ms = budget_ms.min(LONGEST_FETCH_MS);
-        // What the chosen engine holds itself it need not fetch from itself.
-        let foreign = |source: &PartSource<'_>| {
+        let budget_ms = (cost.import_budget_ms * FETCH_BUDGET_FACTOR).max(MIN_FETCH_BUDGET_MS);
+        let budget_ms = budget_ms.min(self.prefill_ms(input, entry) * MAX_PREFILL_FACTOR) as u64;
+        let budget_ms = budget_ms.min(MAX_FETCH_MS);
+        // The chosen engine does not fetch from itself.
+        let other_address = |source: &PartSource<'_>| {
             Some(source.address).filter(|address| *address != entry.address)
         };
-        let mut sources: Vec<Option<SocketAddr>> = self.sources.iter().map(foreign).collect();
+        let mut sources: Vec<Option<SocketAddr>> = self.sources.iter().map(other_address).collect();
         sources.resize(input.prompt.parts.len(), None);
         let has_source = sources.iter().any(Option::is_some);
         let wait = self.fetch_wait(input, cost, entry);
         has_source.then_some(FetchPlan { sources, budget_ms, tokens: self.tokens(), wait })
     }
 
-    /// Milliseconds in which an engine reads what it lacks of these parts.
-    fn read_ms(&self, input: &EngineInput<'_>, entry: &UpstreamEntry) -> f64 {
+    /// Milliseconds in which an engine prefills those of these parts that it lacks.
+    fn prefill_ms(&self, input: &EngineInput<'_>, entry: &UpstreamEntry) -> f64 {
         let held = resident(input, &entry.id, &self.salt);
         let lacking = self.tokens().0.saturating_sub(held.0);
         lacking as f64 * 1_000.0 / input.prefill_of(&entry.id).0.max(1) as f64
     }
 
-    /// What a prompt waits for, of the parts that its engine lacks.
+    /// The expected wait for the parts that the prompt's engine lacks.
     fn fetch_wait(
         &self,
         input: &EngineInput<'_>,
@@ -219,26 +224,29 @@
         let is_store = |address: &SocketAddr| input.stores.iter().any(|it| it.address == *address);
         let stores = lacking.iter().map(|source| source.address).filter(is_store).collect();
         let ready_ms: f64 = lacking.iter().map(|it| it.ready_ms(&entry.data_centre)).sum();
-        // A first token waits for the prompts before it as well, and would accuse the link of that.
+        // A first token also waits for the prompts queued before it, which must not be taken for a
+        // slow link.
         let expected_ms = ready_ms.max(input.wait_ms(&entry.id));
-        let read_ms =
+        let prefill_ms =
             cost.recompute.0 as f64 * 1_000.0 / input.prefill_of(&entry.id).0.max(1) as f64;
-        FetchWait { stores, expected_ms, other_ms: read_ms + input.fixed_ms }
+        FetchWait { stores, expected_ms, other_ms: prefill_ms + input.fixed_ms }
     }
 
-    /// For each part the store to save it to, if none has it.
+    /// For each part of the prompt the store to save it to; `None` if it is not to be saved.
     pub(crate) fn save_plan(&self, input: &EngineInput<'_>) -> Vec<Option<SocketAddr>> {
         let mut plan = vec![None; input.prompt.parts.len()];
-        for (part, target) in moved_parts(input.prompt).iter().zip(&mut plan) {
+        for (part, target) in transferable_parts(input.prompt).iter().zip(&mut plan) {
             let store = input.parts.store_for(input.stores, &self.salt, part, input.now);
             *target = store.map(|store| store.address);
         }
         plan
     }
 
-    /// What fetches and saves of the prompt put on the stores' links. Parts that the engine holds are
-    /// not fetched: counted as fetched, what all prompts begin with kept its store's link busy by
-    /// itself, and half of the parts that lay in stores were read again for the wait believed there.
+    /// The transfers over stores' links that the prompt's fetches and saves cause.
+    ///
+    /// Parts that the engine holds are not fetched and must not be counted: otherwise the leading part
+    /// that all prompts share made its store's link appear busy by itself, and half of the parts held
+    /// in stores were prefilled again because of the wait expected there.
     pub(crate) fn transfers(
         &self,
         input: &EngineInput<'_>,
--- a/crates/guava-serve/src/parts/save_ledger.rs
+++ b/crates/guava-serve/src/parts/save_ledger.rs
@@ -1,89 +1,89 @@
-//! Saves of parts to stores that are under way, by this daemon's orders and its peers'.
+//! Saves of prompt parts to stores that are in flight, ordered by this daemon or by its peers.
 //!
-//! A store sets room aside when a save begins and reports the part when it is whole, about a second
-//! later. What it reports shows more room than it has meanwhile, and a save that finds none is lost:
-//! the part is read once more by the next prompt that needs it.
+//! A store reserves capacity when a save begins and reports the part when it is complete, about a
+//! second later. Until then its reports show more capacity than it has. A save that finds no capacity
+//! is lost, and the next prompt that needs the part has it prefilled again.
 
 use crate::parts::part_key::PartKey;
 use guava_types::{FastMap, Moment, TokenCount};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// A save that was not reported for so long is taken as lost, in milliseconds. Stores set room aside
-/// at once, and the longest transfers take about a second.
-const EXPIRY_MS: u64 = 4_000;
-/// Saves remembered before those that are over are dropped.
-const REMEMBERED: usize = 10_000;
+/// Age, in milliseconds, from which a save that the store has not reported counts as lost. Stores
+/// reserve capacity at once, and the longest transfers take about a second.
+const SAVE_EXPIRY_MS: u64 = 4_000;
+/// Number of saves from which expired ones are removed.
+const MAX_PENDING_SAVES: usize = 10_000;
 
-/// A part on its way to a store.
+/// A save of one prompt part to one store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PartSave {
-    /// Which part.
+    /// Key of the part.
     pub key: PartKey,
-    /// Where to.
+    /// Address of the store.
     pub store: SocketAddr,
-    /// Its length.
+    /// Length of the part.
     pub tokens: TokenCount,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct BegunSave {
+struct PendingSave {
     save: PartSave,
     since: Moment,
-    /// Tells this save from an earlier one of the same part.
+    /// Distinguishes this save from an earlier one of the same part.
     number: u64,
 }
 
-impl BegunSave {
-    fn is_over(&self, now: Moment) -> bool {
-        now.millis_since(self.since) >= EXPIRY_MS
+impl PendingSave {
+    fn is_expired(&self, now: Moment) -> bool {
+        now.millis_since(self.since) >= SAVE_EXPIRY_MS
     }
 }
 
-/// The saves under way.
+/// The saves in flight, by part and by store.
 #[derive(Debug, Default)]
 pub struct SaveLedger {
     /// The last save of each part.
-    begun: FastMap<PartKey, BegunSave>,
-    /// In the order in which they began; those that are over, or were begun again, count no more.
-    by_store: FastMap<SocketAddr, VecDeque<BegunSave>>,
+    pending: FastMap<PartKey, PendingSave>,
+    /// In order of their start; expired and superseded saves are ignored.
+    by_store: FastMap<SocketAddr, VecDeque<PendingSave>>,
     last_number: u64,
 }
 
 impl SaveLedger {
-    /// Notes that a save begins.
+    /// Records a new save; it supersedes an earlier one of the same part.
     pub fn begin(&mut self, save: PartSave, now: Moment) {
-        if self.begun.len() > REMEMBERED {
-            self.begun.retain(|_, begun| !begun.is_over(now));
+        if self.pending.len() > MAX_PENDING_SAVES {
+            self.pending.retain(|_, pending| !pending.is_expired(now));
         }
         self.last_number += 1;
-        let begun = BegunSave { save, since: now, number: self.last_number };
-        self.begun.insert(save.key, begun);
+        let pending = PendingSave { save, since: now, number: self.last_number };
+        self.pending.insert(save.key, pending);
         let queue = self.by_store.entry(save.store).or_default();
-        while queue.front().is_some_and(|first| first.is_over(now)) {
+        while queue.front().is_some_and(|first| first.is_expired(now)) {
             queue.pop_front();
         }
-        queue.push_back(begun);
+        queue.push_back(pending);
     }
 
-    /// Notes that a store reported a part.
+    /// Removes the save of a part that a store reported.
     pub fn end(&mut self, key: &PartKey) {
-        self.begun.remove(key);
+        self.pending.remove(key);
     }
 
-    /// Whether a part is being saved.
-    pub fn is_under_way(&self, key: &PartKey, now: Moment) -> bool {
-        self.begun.get(key).is_some_and(|begun| !begun.is_over(now))
+    /// Whether a part has a save that is not expired.
+    pub fn is_in_flight(&self, key: &PartKey, now: Moment) -> bool {
+        self.pending.get(key).is_some_and(|pending| !pending.is_expired(now))
     }
 
-    /// Room that a store has set aside for parts under way.
+    /// Capacity that a store has reserved for saves in flight.
     pub fn reserved(&self, store: SocketAddr, now: Moment) -> TokenCount {
-        let is_last = |begun: &&BegunSave| {
-            let last = self.begun.get(&begun.save.key);
-            last.is_some_and(|last| last.number == begun.number)
+        let is_last = |pending: &&PendingSave| {
+            let last = self.pending.get(&pending.save.key);
+            last.is_some_and(|last| last.number == pending.number)
         };
         let queue = self.by_store.get(&store).into_iter().flatten();
-        let under_way = queue.filter(|begun| !begun.is_over(now)).filter(is_last);
-        TokenCount(under_way.map(|begun| begun.save.tokens.0).sum())
+        let in_flight = queue.filter(|pending| !pending.is_expired(now)).filter(is_last);
+        TokenCount(in_flight.map(|pending| pending.save.tokens.0).sum())
     }
 }
--- a/crates/guava-serve/src/parts/sent_prompt.rs
+++ b/crates/guava-serve/src/parts/sent_prompt.rs
@@ -1,4 +1,4 @@
-//! A prompt that was just sent, as daemons tell each other.
+//! The notice of a prompt that was just sent, as daemons exchange it.
 
 use crate::parts::part_key::PartKey;
 use crate::parts::save_ledger::PartSave;
@@ -8,21 +8,22 @@
 /// A prompt that a peer sent to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SentPrompt {
-    /// Which engine.
+    /// The engine that it was sent to.
     pub engine: UpstreamId,
-    /// Its shared parts.
+    /// Keys of its shared parts.
     pub parts: Vec<PartKey>,
-    /// Memory that it takes.
+    /// Engine memory that it takes, in tokens.
     pub tokens: TokenCount,
-    /// Tokens of it that the engine must read.
+    /// Tokens of it that the engine must prefill.
     pub waiting: TokenCount,
-    /// Rank at the engine; 0 goes first.
+    /// Its priority at the engine; 0 is served first.
     pub priority: u8,
-    /// Its shared parts that are read for the first time, and saved to stores.
+    /// Its shared parts that the engine prefills for the first time and saves to stores.
     pub saves: Vec<PartSave>,
-    /// What it puts on the links of stores.
+    /// Its transfers over the links of stores.
     pub transfers: Vec<StoreTransfer>,
-    /// Whether daemons of all data centres are told at once, not only those near by and those where
-    /// the engine stands: of parts that they should not read again, and of long prompts.
+    /// Whether the notice is sent immediately to daemons of all data centres, instead of only the
+    /// local ones and those of the engine's data centre. Set for parts that other engines should not
+    /// prefill again, and for long prompts.
     pub is_for_all: bool,
 }
--- a/crates/guava-serve/tests/parts_index.rs
+++ b/crates/guava-serve/tests/part_index.rs
@@ -1,4 +1,4 @@
-//! Where cached parts lie, and when that knowledge counts.
+//! The index of cached prompt parts, the expiry of its reports, and the capacity of stores for saves.
 
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
@@ -15,7 +15,7 @@
 use support::{customer, id, model, part, store};
 
 const NOW: Moment = Moment(50_000);
-/// When the stores of these tests were first heard of.
+/// When the stores of these tests were first known.
 const BEFORE: Moment = Moment(40_000);
 
 fn stored(salt: &str, id: &str, tokens: u64) -> PartEvent {
@@ -48,11 +48,11 @@
 }
 
 #[test]
-fn word_of_a_store_that_fell_silent_does_not_count() {
+fn expired_report_of_a_silent_store_is_ignored() {
     // Symptom: a request reads a part that is only partly written.
     // Sequence: a store restarts empty while its connection is silent; another daemon saves the
-    // part to it anew; this daemon still counts on what the store held before.
-    // Cause: knowledge had no age.
+    // part to it again; this daemon still relies on the store's earlier contents.
+    // Cause: reports did not expire.
     let index = index_with(vec![stored("m0/1", "p", 9_000)]);
 
     let later = Moment(NOW.0 + 1_401);
@@ -71,11 +71,11 @@
 }
 
 #[test]
-fn store_that_restarted_is_not_saved_to_while_old_fetches_may_meet_the_part() {
+fn restarted_store_is_not_saved_to_until_earlier_fetches_have_finished() {
     // Symptom: a request reads a part that is only partly written.
-    // Sequence: a request is told to fetch a part and waits in its engine's queue; the store
-    // restarts empty; another request saves the part to it anew; the first begins to fetch.
-    // Cause: nothing kept the new part away until fetches of the old one were over.
+    // Sequence: a request is sent with a part to fetch and waits in its engine's queue; the store
+    // restarts empty; another request saves the part to it again; the first begins to fetch.
+    // Cause: saves did not wait until fetches based on the earlier contents had finished.
     let mut index = index_with(vec![stored("m0/1", "p", 9_000)]);
     let only = vec![store("s1", 1)];
     let restarted = only[0].address;
@@ -93,12 +93,12 @@
 }
 
 #[test]
-fn daemon_that_starts_saves_at_once_to_a_store_that_holds_parts() {
-    // Symptom: after all daemons were restarted, parts were read again for fifteen seconds.
-    // Sequence: daemons start, find the stores' contents, and save nothing for four seconds; what
-    // is read in that time has to be read once more.
-    // Cause: a store first heard of counted as restarted, though nobody saves to one before it has
-    // settled, so one that holds a part has.
+fn started_daemon_saves_immediately_to_a_store_that_holds_parts() {
+    // Symptom: after all daemons were restarted, parts were prefilled again for fifteen seconds.
+    // Sequence: daemons start, read the stores' contents, and save nothing for four seconds; parts
+    // prefilled in that time have to be prefilled once more.
+    // Cause: a newly known store counted as restarted. Daemons save only to settled stores, so a store
+    // that holds a part is settled.
     let mut index = PartIndex::default();
     let only = vec![store("s1", 1)];
     index.note_events(only[0].address, 9, vec![stored("m0/1", "old", 9_000)], NOW);
@@ -109,9 +109,9 @@
 }
 
 #[test]
-fn faster_links_get_more_parts_of_equal_stores() {
-    // The load: parts of 9,000 tokens for two stores of one size, one with a link four times as
-    // fast. Shared out by size alone, the slower link carries as many fetches as the faster.
+fn store_with_the_faster_link_gets_more_parts() {
+    // Parts of 9,000 tokens are saved to two stores of one size, one with a link four times as fast.
+    // Weighted by size alone, the slower link would carry as many fetches as the faster.
     let fast =
         StoreTraits { bytes_per_s: 4 * store("s1", 1).bytes_per_s, ..(*store("s1", 1)).clone() };
     let both = vec![Rc::new(fast), store("s2", 2)];
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn part_is_saved_once_and_to_the_same_store_by_all() {
+fn part_is_saved_once_and_all_daemons_select_the_same_store() {
     let mut one = index_with(Vec::new());
     let other = index_with(Vec::new());
     let wanted = part("p", 9_000);
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn full_store_is_passed_over() {
+fn full_store_is_not_selected_for_saves() {
     let index = index_with(vec![stored("m0/1", "big", 95_000)]);
     let stores = stores();
 
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn dropped_part_gives_its_room_back() {
+fn dropped_part_releases_its_capacity() {
     let mut index = index_with(vec![stored("m0/1", "big", 95_000)]);
     let dropped = PartEvent::Dropped { salt: "m0/1".into(), id: "big".into() };
 
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn engine_is_believed_to_hold_what_was_sent_until_as_much_went_after_it() {
+fn sent_part_counts_as_resident_until_later_prompts_fill_the_cache() {
     let mut index = PartIndex::default();
     let memory = TokenCount(60_000);
     let keys = [PartKey::new("m0/1", "p")];
@@ -183,30 +183,30 @@
 fn salts_differ_by_version_and_isolated_customer() {
     let open = CallerIdentity::Customer(Rc::new(customer("acme", false)));
     let other = CallerIdentity::Customer(Rc::new(customer("other", false)));
-    let walled = CallerIdentity::Customer(Rc::new(customer("walled", true)));
+    let isolated = CallerIdentity::Customer(Rc::new(customer("walled", true)));
 
     let salt = |version, caller| cache_salt(&model(), WeightVersion(version), caller);
 
     assert_eq!(salt(1, &open), salt(1, &other));
     assert_ne!(salt(1, &open), salt(2, &open));
-    assert_ne!(salt(1, &open), salt(1, &walled));
-    assert_eq!(salt_version(&salt(3, &walled)), Some(("m0", WeightVersion(3))));
+    assert_ne!(salt(1, &open), salt(1, &isolated));
+    assert_eq!(salt_version(&salt(3, &isolated)), Some(("m0", WeightVersion(3))));
 }
 
-fn word(epoch: u64, as_of: u64, is_whole: bool, parts: &[(&str, u64)]) -> StoreUpdate {
-    let news = |(id, tokens): &(&str, u64)| PartChange {
+fn peer_update(epoch: u64, as_of: u64, is_whole: bool, parts: &[(&str, u64)]) -> StoreUpdate {
+    let change = |(id, tokens): &(&str, u64)| PartChange {
         key: PartKey::new("m0/1", id),
         tokens: TokenCount(*tokens),
     };
-    let parts = parts.iter().map(news).collect();
+    let parts = parts.iter().map(change).collect();
     StoreUpdate { store: stores()[0].address, epoch, as_of: Moment(as_of), is_whole, parts }
 }
 
 #[test]
-fn what_a_follower_of_a_store_says_counts_with_its_age() {
+fn store_update_from_a_peer_expires_by_its_own_age() {
     let mut index = PartIndex::default();
 
-    index.note_store_update(word(7, NOW.0 - 300, false, &[("p", 9_000)]), NOW);
+    index.note_store_update(peer_update(7, NOW.0 - 300, false, &[("p", 9_000)]), NOW);
 
     assert!(index.holder(&stores(), "m0/1", &part("p", 9_000), NOW).is_some());
     let later = Moment(NOW.0 + 1_101);
@@ -214,23 +214,23 @@
 }
 
 #[test]
-fn followers_word_of_a_restart_empties_the_store() {
+fn store_update_with_a_new_epoch_clears_the_store() {
     let mut index = PartIndex::default();
-    index.note_store_update(word(7, NOW.0 - 300, false, &[("p", 9_000)]), NOW);
+    index.note_store_update(peer_update(7, NOW.0 - 300, false, &[("p", 9_000)]), NOW);
 
-    index.note_store_update(word(8, NOW.0 - 100, false, &[]), NOW);
-    // A late datagram from before the restart.
-    index.note_store_update(word(7, NOW.0 - 300, false, &[("p", 9_000)]), NOW);
+    index.note_store_update(peer_update(8, NOW.0 - 100, false, &[]), NOW);
+    // A delayed message from before the restart.
+    index.note_store_update(peer_update(7, NOW.0 - 300, false, &[("p", 9_000)]), NOW);
 
     assert!(index.holder(&stores(), "m0/1", &part("p", 9_000), NOW).is_none());
 }
 
 #[test]
-fn whole_word_replaces_what_was_missed() {
+fn complete_store_update_replaces_known_contents() {
     let mut index = PartIndex::default();
-    index.note_store_update(word(7, NOW.0 - 300, false, &[("p", 9_000), ("q", 9_000)]), NOW);
+    index.note_store_update(peer_update(7, NOW.0 - 300, false, &[("p", 9_000), ("q", 9_000)]), NOW);
 
-    index.note_store_update(word(7, NOW.0 - 100, true, &[("q", 9_000), ("r", 9_000)]), NOW);
+    index.note_store_update(peer_update(7, NOW.0 - 100, true, &[("q", 9_000), ("r", 9_000)]), NOW);
 
     assert!(index.holder(&stores(), "m0/1", &part("p", 9_000), NOW).is_none());
     assert!(index.holder(&stores(), "m0/1", &part("r", 9_000), NOW).is_some());
@@ -238,33 +238,33 @@
 }
 
 #[test]
-fn store_that_is_followed_itself_is_not_overruled_by_peers() {
-    // Symptom: parts of old weights are never freed.
-    // Sequence: two daemons follow a store; the one that frees takes the other's word, which has
-    // keys but no names, over its own.
-    // Cause: the newest word replaced what the store itself had said.
+fn update_from_a_peer_does_not_override_a_fresh_report_of_the_store() {
+    // Symptom: parts of unreferenced weight versions are never freed.
+    // Sequence: two daemons follow a store; the one that frees parts replaces its own contents by the
+    // other's update, which has keys but no salts and ids.
+    // Cause: the newest update replaced the store's own report.
     let mut index = index_with(vec![stored("m0/1", "p", 9_000)]);
 
-    index.note_store_update(word(7, NOW.0 + 100, true, &[]), NOW);
+    index.note_store_update(peer_update(7, NOW.0 + 100, true, &[]), NOW);
 
-    let (epoch, useless) = index.unreferenced_parts(stores()[0].address, |_| true);
-    assert_eq!((epoch, useless.len()), (7, 1));
+    let (epoch, unreferenced) = index.unreferenced_parts(stores()[0].address, |_| true);
+    assert_eq!((epoch, unreferenced.len()), (7, 1));
 }
 
 #[test]
-fn follower_tells_changes_once_and_all_when_asked() {
+fn changes_are_sent_once_and_complete_contents_on_request() {
     let mut index = index_with(vec![stored("m0/1", "p", 9_000)]);
     let store = stores()[0].address;
 
     let first = index.store_update(store, false).unwrap();
     let second = index.store_update(store, false).unwrap();
-    let whole = index.store_update(store, true).unwrap();
+    let complete = index.store_update(store, true).unwrap();
 
-    assert_eq!((first.parts.len(), second.parts.len(), whole.parts.len()), (1, 0, 1));
+    assert_eq!((first.parts.len(), second.parts.len(), complete.parts.len()), (1, 0, 1));
 }
 
 #[test]
-fn engine_that_read_a_part_last_is_known_once_it_can_have_read_it() {
+fn engine_is_a_source_of_a_part_once_it_has_prefilled_it() {
     let mut index = PartIndex::default();
     let memory = TokenCount(60_000);
     let wanted = part("p", 10_000);
@@ -278,34 +278,35 @@
 }
 
 #[test]
-fn saves_under_way_take_the_room_that_a_store_still_reports() {
-    // Symptom: one part in four found no room in its store, and was read once more by the next prompt.
-    // Sequence: stores are nearly full; within a second many daemons save parts, each by what the
-    // stores last reported; the stores set room aside at once, and take only the first of them.
-    // Cause: parts under way counted only once they were whole.
+fn saves_in_flight_count_against_the_capacity_that_a_store_reports() {
+    // Symptom: one part in four found no capacity in its store and was prefilled again for the next
+    // prompt.
+    // Sequence: stores are nearly full; within a second many daemons save parts, each based on the
+    // stores' last reports; the stores reserve capacity at once and accept only the first of the saves.
+    // Cause: saves in flight were counted only when they were complete.
     let stores = stores();
     let mut index = index_with(vec![stored("m0/1", "held", 60_000)]);
     let mut free = [(stores[0].address, 40_000), (stores[1].address, 100_000)];
-    let mut without_room = 0;
+    let mut rejected = 0;
 
     for number in 0..20 {
         let wanted = part(&format!("p{number}"), 9_000);
         let Some(store) = index.store_for(&stores, "m0/1", &wanted, NOW) else { continue };
         index.note_saving(save(&wanted, store.address), NOW);
-        let room = free.iter_mut().find(|(address, _)| *address == store.address).unwrap();
-        if room.1 < wanted.tokens.0 {
-            without_room += 1;
+        let capacity = free.iter_mut().find(|(address, _)| *address == store.address).unwrap();
+        if capacity.1 < wanted.tokens.0 {
+            rejected += 1;
         } else {
-            room.1 -= wanted.tokens.0;
+            capacity.1 -= wanted.tokens.0;
         }
     }
 
-    assert_eq!(without_room, 0, "six of twenty when parts under way did not count");
-    assert!(free.iter().all(|(_, room)| *room < 9_000), "{free:?}");
+    assert_eq!(rejected, 0, "it was six of twenty when saves in flight were not counted");
+    assert!(free.iter().all(|(_, capacity)| *capacity < 9_000), "{free:?}");
 }
 
 #[test]
-fn save_that_was_never_reported_gives_its_room_back() {
+fn unreported_save_releases_its_capacity_when_it_expires() {
     let stores = stores();
     let mut index = index_with(Vec::new());
     let big = part("big", 95_000);
@@ -322,11 +323,11 @@
 }
 
 #[test]
-fn save_that_is_begun_again_takes_room_again() {
-    // Symptom: parts find no room in a store that was believed to have some.
-    // Sequence: a save is lost, and after its time the part is saved once more, to the same store or
-    // to another one.
-    // Cause: the part was still remembered from the first time, and not counted a second.
+fn save_begun_again_after_its_expiry_reserves_capacity_again() {
+    // Symptom: parts find no capacity in a store that should have some.
+    // Sequence: a save is lost, and after its expiry the part is saved again, to the same store or to
+    // another one.
+    // Cause: the expired save was still recorded, and the second one not counted.
     let stores = stores();
     let (first, second) = (stores[0].address, stores[1].address);
     let wanted = part("p", 9_000);
@@ -344,16 +345,16 @@
 }
 
 #[test]
-fn save_that_peers_tell_twice_takes_its_room_once() {
+fn save_reported_twice_by_peers_reserves_capacity_once() {
     let store = stores()[0].address;
     let wanted = part("p", 9_000);
     let mut ledger = SaveLedger::default();
 
     ledger.begin(save(&wanted, store), NOW);
     ledger.begin(save(&wanted, store), Moment(NOW.0 + 10));
-    let under_way = ledger.reserved(store, Moment(NOW.0 + 20));
+    let in_flight = ledger.reserved(store, Moment(NOW.0 + 20));
     ledger.end(&PartKey::new("m0/1", &wanted.id));
 
-    assert_eq!(under_way, TokenCount(9_000));
+    assert_eq!(in_flight, TokenCount(9_000));
     assert_eq!(ledger.reserved(store, Moment(NOW.0 + 20)), TokenCount(0));
 }
--- a/crates/guava-serve/tests/part_duty.rs
+++ b/crates/guava-serve/tests/part_task.rs
@@ -1,4 +1,4 @@
-//! Following stores of cached parts, with scripted calls in their place.
+//! The task that follows part stores, with scripted calls in place of the stores.
 
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
@@ -12,7 +12,7 @@
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
-/// Stores that are empty.
+/// A port to stores that are empty and report no events.
 fn empty_stores() -> PartPort {
     PartPort {
         events: Rc::new(|_, _, wait_ms| {
@@ -28,18 +28,20 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn daemon_that_just_started_follows_the_stores_as_soon_as_it_knows_them() {
-    // Symptom: after all daemons start together, every prompt of the next second is read anew.
-    // Sequence: a daemon starts; it reads the configuration some milliseconds later, and takes
+async fn started_daemon_follows_stores_soon_after_it_has_a_configuration() {
+    // Symptom: after all daemons start together, every prompt of the next second is prefilled without
+    // cached parts.
+    // Sequence: a daemon starts, reads the configuration some milliseconds later, and accepts
     // prompts.
-    // Cause: it looked for stores once, without a configuration, and then half a second later.
+    // Cause: it checked for stores once, without a configuration, and then half a second later.
     let context = Rc::new(serve_context("d1"));
     let followed = Rc::new(RefCell::new(Vec::new()));
-    let duty = follow_stores(Rc::clone(&context), Rc::new(empty_stores()), Rc::clone(&followed));
+    let follow_task =
+        follow_stores(Rc::clone(&context), Rc::new(empty_stores()), Rc::clone(&followed));
 
     let waited = LocalSet::new()
         .run_until(async {
-            tokio::task::spawn_local(duty);
+            tokio::task::spawn_local(follow_task);
             sleep(Duration::from_millis(10)).await;
             let stores = vec![(*store("s1", 1)).clone()];
             apply_config(
