--- a/crates/guava-serve/src/members/peer_exchange.rs
+++ b/crates/guava-serve/src/members/peer_exchange.rs
@@ -232,7 +232,7 @@
 /// A word with so many parts at most; told in part, it is no whole list.
 fn cut_to(mut word: StoreUpdate, room: usize) -> StoreUpdate {
     if word.parts.len() > room {
-        word.is_whole = false;
+        word.is_complete = false;
         let from = rand::random::<u64>() as usize % word.parts.len().max(1);
         // The rest follows in later ones.
         word.parts.rotate_left(from);
--- a/crates/guava-serve/src/members/peer_message.rs
+++ b/crates/guava-serve/src/members/peer_message.rs
@@ -465,7 +465,7 @@
             store: store.store.to_string(),
             epoch: store.epoch,
             age_ms: now.millis_since(store.as_of),
-            is_whole: store.is_whole,
+            is_whole: store.is_complete,
             keys: store.parts.iter().map(|part| part.key.0).collect(),
             tokens: store.parts.iter().map(|part| part.tokens.0).collect(),
         };
@@ -557,7 +557,7 @@
                 store: store.store.parse().ok()?,
                 epoch: store.epoch,
                 as_of: since.minus_millis(store.age_ms),
-                is_whole: store.is_whole,
+                is_complete: store.is_whole,
                 parts: store.keys.into_iter().zip(store.tokens).map(news).collect(),
             })
         };
--- a/crates/guava-serve/src/parts/part_index.rs
+++ b/crates/guava-serve/src/parts/part_index.rs
@@ -101,7 +101,7 @@
     /// When the store reported it, on this daemon's clock.
     pub as_of: Moment,
     /// Whether `parts` lists the complete contents of the store rather than changes.
-    pub is_whole: bool,
+    pub is_complete: bool,
     /// The store's contents or the changes to them.
     pub parts: Vec<PartChange>,
 }
@@ -341,14 +341,14 @@
 
     /// The update for peers on a store that this daemon follows: its complete contents, or the changes
     /// since the last call.
-    pub fn store_update(&mut self, store: SocketAddr, is_whole: bool) -> Option<StoreUpdate> {
+    pub fn store_update(&mut self, store: SocketAddr, is_complete: bool) -> Option<StoreUpdate> {
         let contents = self.stores.get_mut(&store)?;
         let changes = std::mem::take(&mut contents.changes);
-        if is_whole {
+        if is_complete {
             return self.full_store_update(store);
         }
         let (epoch, as_of) = (contents.epoch, contents.confirmed);
-        Some(StoreUpdate { store, epoch, as_of, is_whole, parts: changes })
+        Some(StoreUpdate { store, epoch, as_of, is_complete, parts: changes })
     }
 
     /// The complete contents of a store, for the initial sync with a new peer.
@@ -357,7 +357,7 @@
         let held = contents.held.iter();
         let parts = held.map(|(key, tokens)| PartChange { key: *key, tokens: *tokens }).collect();
         let (epoch, as_of) = (contents.epoch, contents.confirmed);
-        Some(StoreUpdate { store, epoch, as_of, is_whole: true, parts })
+        Some(StoreUpdate { store, epoch, as_of, is_complete: true, parts })
     }
 
     /// Applies a peer's update on a store that it follows, unless this daemon has a fresh report from
@@ -378,7 +378,7 @@
         self.note_start(update.store, update.epoch, now);
         let contents = self.stores.entry(update.store).or_default();
         contents.epoch = update.epoch;
-        if update.is_whole && update.as_of >= contents.confirmed {
+        if update.is_complete && update.as_of >= contents.confirmed {
             contents.held.clear();
             contents.names.clear();
             contents.used = 0;
--- a/crates/guava-serve/tests/part_index.rs
+++ b/crates/guava-serve/tests/part_index.rs
@@ -193,13 +193,13 @@
     assert_eq!(salt_version(&salt(3, &isolated)), Some(("m0", WeightVersion(3))));
 }
 
-fn peer_update(epoch: u64, as_of: u64, is_whole: bool, parts: &[(&str, u64)]) -> StoreUpdate {
+fn peer_update(epoch: u64, as_of: u64, is_complete: bool, parts: &[(&str, u64)]) -> StoreUpdate {
     let change = |(id, tokens): &(&str, u64)| PartChange {
         key: PartKey::new("m0/1", id),
         tokens: TokenCount(*tokens),
     };
     let parts = parts.iter().map(change).collect();
-    StoreUpdate { store: stores()[0].address, epoch, as_of: Moment(as_of), is_whole, parts }
+    StoreUpdate { store: stores()[0].address, epoch, as_of: Moment(as_of), is_complete, parts }
 }
 
 #[test]
--- a/crates/guava-serve/tests/small_rules.rs
+++ b/crates/guava-serve/tests/small_rules.rs
@@ -291,7 +291,7 @@
             store: address(5),
             epoch: 9,
             as_of: Moment(99_000),
-            is_whole: true,
+            is_complete: true,
             parts: vec![PartChange { key: PartKey(4), tokens: TokenCount(12_000) }],
         }],
         operator: Some(ReadMark { state: 12, as_of: Moment(99_500) }),
