--- a/crates/guava-serve/src/parts/part_index.rs
+++ b/crates/guava-serve/src/parts/part_index.rs
@@ -14,7 +14,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Fraction of an engine's memory that is assumed to add_part parts of earlier prompts; runs take the
+/// Fraction of an engine's memory that is assumed to hold parts of earlier prompts; runs take the
 /// rest. The engine evicts the least recently used parts.
 const CACHE_FRACTION: f64 = 0.6;
 /// Parts recorded for each engine: more than fit into any engine's memory.
@@ -24,7 +24,7 @@
 /// be removed when there are more: engines evict parts within some seconds.
 const MAX_SENT_PARTS: usize = 8_192;
 const SENT_EXPIRY_MS: u64 = 20_000;
-/// Time in which an engine prefills a part that was sent to it, in milliseconds.
+/// Time after which an engine is assumed to have prefilled a part that was sent to it, in milliseconds.
 const PREFILL_MS: u64 = 700;
 
 /// A prompt part that a store holds completely.
@@ -64,8 +64,9 @@
 /// is abandoned and the part prefilled again.
 pub const MAX_FETCH_MS: u64 = 2_500;
 /// Time after its restart in which a store is not saved to, in milliseconds. Afterwards all fetches
-/// based on its earlier contents have finished, since reports expire and the time of a fetch is
-/// limited. A fetch of a part that is being written would read only a fraction of it.
+/// based on its earlier contents have finished: they rely on a report that is at most
+/// [`REPORT_EXPIRY_MS`] old, and last at most [`MAX_FETCH_MS`]. A fetch of a part that is being written
+/// would read only a fraction of it.
 const RESTART_SETTLE_MS: u64 = REPORT_EXPIRY_MS + MAX_FETCH_MS;
 
 #[derive(Debug, Default)]
@@ -224,10 +225,10 @@
         (now.millis_since(contents.confirmed) <= REPORT_EXPIRY_MS).then_some(contents)
     }
 
-    /// The store that a part should be saved to; `None` if it is stored, is being saved, or finds no
-    /// capacity. Among stores with capacity, rendezvous hashing weighted by memory and link rate
-    /// selects one, so all daemons select the same. Weighted by memory alone, large stores with slow
-    /// links would get most parts, and fetches would queue there.
+    /// The store that a part should be saved to; `None` if it is stored or being saved, or if no store
+    /// has capacity for it. Rendezvous hashing, weighted by memory and link rate, selects among the
+    /// stores with capacity, so all daemons select the same. Weighted by memory alone, large stores
+    /// with slow links would get most parts, and fetches would queue there.
     pub fn store_for<'a>(
         &self,
         stores: &'a [Rc<StoreTraits>],
--- a/crates/guava-serve/src/parts/part_task.rs
+++ b/crates/guava-serve/src/parts/part_task.rs
@@ -21,22 +21,23 @@
 const EVENTS_WAIT_MS: u64 = 500;
 /// Delay after a failed call, in milliseconds.
 const RETRY_DELAY_MS: u64 = 300;
-/// Interval between two checks which stores are configured, in milliseconds.
+/// Interval between two checks of which stores are configured, in milliseconds.
 const CHECK_INTERVAL_MS: u64 = 500;
 /// The same interval until there is a configuration, in milliseconds. A daemon that has just started
 /// reads it within a few calls, and prompts that it accepts before it follows the stores are prefilled
-/// without cached parts. With the longer interval, those of half a second were, after all daemons
-/// started together.
+/// without cached parts. With the longer interval, this happened to the prompts of half a second after
+/// all daemons had started together.
 const STARTUP_CHECK_INTERVAL_MS: u64 = 25;
 /// Number of parts freed in one call.
 const MAX_FREED_PARTS: usize = 200;
 /// Timeout of a call to free parts, in milliseconds.
 const FREE_TIMEOUT_MS: u64 = 1_000;
 
-/// Number of daemons in each data centre that follow one store if there are at most
-/// [`FEW_DATA_CENTRES`]; with more data centres it is one in each, since a store answers only about a
-/// dozen calls at a time.
+/// Number of daemons in each data centre that follow one store, if there are at most
+/// [`FEW_DATA_CENTRES`].
 const FOLLOWERS_PER_DATA_CENTRE: usize = 2;
+/// Number of data centres above which only one daemon in each follows a store: a store answers only
+/// about a dozen calls at a time.
 const FEW_DATA_CENTRES: usize = 4;
 
 /// Endless task: follows those configured stores for which this daemon's rank is low enough, lists
--- a/crates/guava-serve/src/parts/part_transfers.rs
+++ b/crates/guava-serve/src/parts/part_transfers.rs
@@ -86,7 +86,7 @@
 
 /// The store that holds a part, or else the engine that prefilled it last: the save of the part may
 /// be in flight, or its store may have lost it. A fetch from an engine that has evicted the part costs
-/// about a millisecond.
+/// a millisecond.
 fn source_for<'a>(
     input: &EngineInput<'a>,
     salt: &str,
@@ -244,9 +244,9 @@
 
     /// The transfers over stores' links that the prompt's fetches and saves cause.
     ///
-    /// Parts that the engine holds are not fetched and must not be counted: otherwise the leading part
-    /// that all prompts share made its store's link appear busy by itself, and half of the parts held
-    /// in stores were prefilled again because of the wait expected there.
+    /// Parts that the engine holds are not fetched and must not be counted: when they
+    /// were, the leading part that all prompts share made its store's link appear busy by itself, and
+    /// half of the parts held in stores were prefilled again because of the wait expected there.
     pub(crate) fn transfers(
         &self,
         input: &EngineInput<'_>,
--- a/crates/guava-serve/src/parts/store_links.rs
+++ b/crates/guava-serve/src/parts/store_links.rs
@@ -8,7 +8,7 @@
 use guava_types::{DataCentre, FastMap, MemberName, Moment, TokenCount};
 use std::net::SocketAddr;
 
-/// How many factor as long a transfer to another data centre takes, by the upstreams' contract.
+/// How many times as long a transfer to another data centre takes, by the upstreams' contract.
 pub(crate) const REMOTE_FACTOR: f64 = 2.0;
 
 /// A transfer over a store's link, as daemons exchange it.
@@ -51,7 +51,7 @@
     number: u64,
 }
 
-/// Age from which a peer's report on a link is ignored, in milliseconds; peers report four factor a
+/// Age from which a peer's report on a link is ignored, in milliseconds; peers report four times a
 /// second.
 const PEER_REPORT_EXPIRY_MS: u64 = 700;
 /// Number of peers that must report a link before it counts as slow.
