--- a/crates/guava-serve/src/members.rs
+++ b/crates/guava-serve/src/members.rs
@@ -1,4 +1,4 @@
-//! The daemons: who there is, what they tell each other, and what they know through each other.
+//! The daemons: which are members, the messages between them, and the state that they share.
 
 pub(crate) mod list_change_gossip;
 pub(crate) mod lost_messages;
--- a/crates/guava-serve/src/members/list_change_gossip.rs
+++ b/crates/guava-serve/src/members/list_change_gossip.rs
@@ -1,37 +1,40 @@
-//! Changes of the list of upstreams that this daemon read and tells its peers.
+//! Changes to the list of upstreams that this daemon read and sends to its peers.
+//!
+//! Each change is repeated in several messages. A peer that misses all of them finds that its
+//! list's digest differs, and reads the list itself.
 
 use crate::members::peer_message::ListChange;
 use guava_types::{Deadline, Moment};
 use std::collections::VecDeque;
 
-/// For how long a change is told, in milliseconds: a few messages, so that a lost one is made up
-/// for. Who misses all of them notices by the list's digest, and reads the list.
-const TOLD_MS: u64 = 1_200;
-/// Changes told in one datagram at most; about a hundred bytes each.
+/// How long a change is repeated, in milliseconds: in a few messages, so that the loss of one does
+/// not matter.
+const CHANGE_RETENTION_MS: u64 = 1_200;
+/// Most changes in one datagram; each takes about a hundred bytes.
 pub(crate) const MOST_TOLD: usize = 40;
-/// Changes remembered at most. A quarter of some hundred upstreams may be lost or added in one moment,
-/// and whoever is not told of each reads the list.
-const MOST_KEPT: usize = 1_000;
+/// Most changes kept at a time. A quarter of some hundred upstreams may be added or lost at once; a peer
+/// that does not receive each of these changes reads the list.
+const MAX_KEPT_CHANGES: usize = 1_000;
 
-/// The changes.
+/// Changes that are sent to peers until their retention is over, in the order of arrival.
 #[derive(Debug, Default)]
 pub struct ListChangeGossip {
     changes: VecDeque<(ListChange, Deadline)>,
 }
 
 impl ListChangeGossip {
-    /// Notes a change; an earlier one of the same upstream is told no more.
+    /// Records a change. It replaces an earlier one of the same upstream.
     pub fn note(&mut self, change: ListChange, now: Moment) {
-        self.changes.retain(|(before, _)| before.id() != change.id());
-        if self.changes.len() >= MOST_KEPT {
+        self.changes.retain(|(known, _)| known.id() != change.id());
+        if self.changes.len() >= MAX_KEPT_CHANGES {
             self.changes.pop_front();
         }
-        self.changes.push_back((change, Deadline::after(now, TOLD_MS)));
+        self.changes.push_back((change, Deadline::after(now, CHANGE_RETENTION_MS)));
     }
 
-    /// The changes to tell now; more than one datagram holds, if many came at once.
+    /// Changes to send now, the oldest first. May exceed what fits into one datagram.
     pub fn told(&mut self, now: Moment) -> Vec<ListChange> {
-        while self.changes.front().is_some_and(|(_, until)| until.passed(now)) {
+        while self.changes.front().is_some_and(|(_, deadline)| deadline.passed(now)) {
             self.changes.pop_front();
         }
         self.changes.iter().map(|(change, _)| change.clone()).collect()
--- a/crates/guava-serve/src/members/lost_messages.rs
+++ b/crates/guava-serve/src/members/lost_messages.rs
@@ -1,4 +1,6 @@
-//! Messages between daemons that were lost at this daemon: counted all, logged now and then.
+//! Messages between daemons that were lost at this daemon.
+//!
+//! Each loss counts in the metrics; log lines are limited to one per interval and kind of loss.
 
 use crate::events;
 use crate::metrics::ServeMetrics;
@@ -6,22 +8,22 @@
 use guava_types::{Deadline, Moment};
 use std::fmt::Display;
 
-/// Pause between two log lines on the same kind of loss, in milliseconds.
-const LOG_PAUSE_MS: u64 = 5_000;
+/// Shortest interval between two log lines on the same kind of loss, in milliseconds.
+const LOG_INTERVAL_MS: u64 = 5_000;
 
-/// How a message was lost.
+/// Why a message was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageLoss {
-    /// It is longer than its receivers take.
+    /// It exceeds the datagram size that receivers accept.
     TooLong,
-    /// It could not be sent.
+    /// Sending it failed or timed out.
     Unsent,
-    /// It came, and can't be read.
+    /// It was received, but could not be decoded.
     Unreadable,
 }
 
 impl MessageLoss {
-    /// In a word, for logs and metrics.
+    /// Label of the loss in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::TooLong => "too-long",
@@ -34,17 +36,18 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct LossCount {
     unlogged: u64,
-    silent_until: Deadline,
+    unlogged_until: Deadline,
 }
 
-/// The losses.
+/// Losses by kind that have not been logged yet.
 #[derive(Debug, Default)]
 pub struct LostMessages {
     counts: [LossCount; 3],
 }
 
 impl LostMessages {
-    /// Notes a loss.
+    /// Counts a loss, and logs all unlogged ones of its kind unless a line was logged within the
+    /// interval.
     pub fn note(
         &mut self,
         loss: MessageLoss,
@@ -55,9 +58,9 @@
         metrics.count_lost_message(loss.name());
         let count = &mut self.counts[loss as usize];
         count.unlogged += 1;
-        if count.silent_until.passed(now) {
+        if count.unlogged_until.passed(now) {
             let lost = std::mem::take(&mut count.unlogged);
-            count.silent_until = Deadline::after(now, LOG_PAUSE_MS);
+            count.unlogged_until = Deadline::after(now, LOG_INTERVAL_MS);
             log_event!(
                 warn,
                 events::MESSAGE_LOST,
--- a/crates/guava-serve/src/members/message_split.rs
+++ b/crates/guava-serve/src/members/message_split.rs
@@ -1,16 +1,17 @@
-//! Cuts a message between daemons into datagrams that its receivers take whole.
+//! Splits a message between daemons into datagrams of at most `MAX_DATAGRAM_BYTES`.
 //!
-//! What says how much work a daemon has replaces what it said before, so it stays in one datagram;
-//! lists whose items stand for themselves go on in further ones.
+//! The work shares of a daemon replace those of its previous message, so they stay in one datagram.
+//! Lists whose items are independent of each other are continued in further datagrams.
 
 use crate::members::peer_message::{MAX_DATAGRAM_BYTES, PeerMessage};
 use guava_types::Moment;
 
-/// A message's datagrams; nearly always one.
+/// Encodes a message as datagrams; nearly always one. A single list item that exceeds the maximum
+/// is encoded nevertheless, as a datagram that is too long.
 pub fn datagrams(message: &PeerMessage, now: Moment) -> Vec<Vec<u8>> {
-    let whole = message.encode(now);
-    if whole.len() <= MAX_DATAGRAM_BYTES {
-        return vec![whole];
+    let complete = message.encode(now);
+    if complete.len() <= MAX_DATAGRAM_BYTES {
+        return vec![complete];
     }
     let (first, rest) = detach_lists(message.clone());
     let mut fitting = vec![cut_shares(first, now)];
@@ -18,14 +19,15 @@
     fitting
 }
 
-/// A message's lists as a message of their own, and what is left of it.
+/// Moves the independent lists out of a message. Returns the message without them, and a
+/// continuation that carries them.
 fn detach_lists(mut first: PeerMessage) -> (PeerMessage, PeerMessage) {
     let rest = PeerMessage {
         sent: std::mem::take(&mut first.sent),
         stores: std::mem::take(&mut first.stores),
         loaded: std::mem::take(&mut first.loaded),
         listed: std::mem::take(&mut first.listed),
-        // The digest goes with the changes that lead to it.
+        // The digest is sent in the same message as the changes that lead to it.
         list: first.list.take(),
         slow_links: std::mem::take(&mut first.slow_links),
         speeds: std::mem::take(&mut first.speeds),
@@ -37,7 +39,8 @@
     (first, rest)
 }
 
-/// Encodes a message without as many of its smallest shares as don't fit.
+/// Encodes a message, and drops the smallest shares, a quarter at a time, until it fits or
+/// none is left.
 fn cut_shares(mut message: PeerMessage, now: Moment) -> Vec<u8> {
     let mut bytes = message.encode(now);
     while bytes.len() > MAX_DATAGRAM_BYTES && !message.shares.is_empty() {
@@ -50,11 +53,11 @@
     bytes
 }
 
-/// Encodes a message of lists, in halves as long as it does not fit.
+/// Encodes a message of lists; halves the lists until each datagram fits.
 fn push_fitting(message: PeerMessage, now: Moment, fitting: &mut Vec<Vec<u8>>) {
     let bytes = message.encode(now);
-    let most = longest_list(&message);
-    if bytes.len() <= MAX_DATAGRAM_BYTES || most <= 1 {
+    let longest = longest_list(&message);
+    if bytes.len() <= MAX_DATAGRAM_BYTES || longest <= 1 {
         fitting.push(bytes);
         return;
     }
@@ -63,6 +66,7 @@
     push_fitting(second, now, fitting);
 }
 
+/// Length of the longest of the lists that can be split.
 fn longest_list(message: &PeerMessage) -> usize {
     let lengths = [
         message.sent.len(),
@@ -78,6 +82,7 @@
     lengths.into_iter().max().unwrap_or(0)
 }
 
+/// Moves the second half of each list into a continuation.
 fn halve(mut first: PeerMessage) -> (PeerMessage, PeerMessage) {
     fn second_half<T>(list: &mut Vec<T>) -> Vec<T> {
         list.split_off(list.len().div_ceil(2))
--- a/crates/guava-serve/src/members/peer_message.rs
+++ b/crates/guava-serve/src/members/peer_message.rs
@@ -1,4 +1,7 @@
-//! What daemons tell each other: one small datagram, a few times a second.
+//! Messages between daemons, and their encoding.
+//!
+//! Each daemon sends a summary of its state a few times a second, nearly always in one datagram,
+//! and immediate messages between two summaries.
 
 use crate::members::member_table::MemberDescriptor;
 use crate::members::shared_reads::ReadMark;
@@ -21,12 +24,12 @@
 use prost::Message;
 use std::net::SocketAddr;
 
-/// Largest datagram, in bytes: stays whole on links that carry usual Ethernet frames, several
-/// fragments in the worst case.
+/// Largest datagram, in bytes. Links with usual Ethernet frames carry it, in the worst case as
+/// several fragments.
 pub const MAX_DATAGRAM_BYTES: usize = 8_192;
 
 #[derive(Clone, PartialEq, Message)]
-struct WireShare {
+struct WireWorkShare {
     #[prost(string, tag = "1")]
     upstream: String,
     #[prost(uint64, tag = "2")]
@@ -38,7 +41,7 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct WireSent {
+struct WireSentPrompt {
     #[prost(string, tag = "1")]
     upstream: String,
     #[prost(fixed64, repeated, tag = "2")]
@@ -56,11 +59,11 @@
     #[prost(bool, tag = "9")]
     is_for_all: bool,
     #[prost(message, repeated, tag = "10")]
-    saves: Vec<WireSave>,
+    saves: Vec<WirePartSave>,
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct WireSave {
+struct WirePartSave {
     #[prost(fixed64, tag = "1")]
     key: u64,
     #[prost(string, tag = "2")]
@@ -70,7 +73,7 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct WireTarget {
+struct WirePublishedVersion {
     #[prost(string, tag = "1")]
     model: String,
     #[prost(uint64, tag = "2")]
@@ -80,7 +83,7 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct WireStore {
+struct WireStoreUpdate {
     #[prost(string, tag = "1")]
     store: String,
     #[prost(uint64, tag = "2")]
@@ -96,7 +99,7 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct WireMark {
+struct WireReadMark {
     #[prost(fixed64, tag = "1")]
     state: u64,
     #[prost(uint64, tag = "2")]
@@ -104,7 +107,7 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct WireLoaded {
+struct WireLoadedVersion {
     #[prost(string, tag = "1")]
     upstream: String,
     #[prost(string, tag = "2")]
@@ -114,7 +117,7 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct WireListed {
+struct WireListChange {
     #[prost(string, tag = "1")]
     upstream: String,
     #[prost(bool, tag = "2")]
@@ -140,7 +143,7 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct WirePeer {
+struct WireMessage {
     #[prost(string, tag = "1")]
     name: String,
     #[prost(string, tag = "2")]
@@ -152,39 +155,39 @@
     #[prost(bool, tag = "5")]
     is_ready: bool,
     #[prost(message, repeated, tag = "6")]
-    shares: Vec<WireShare>,
+    shares: Vec<WireWorkShare>,
     #[prost(message, repeated, tag = "7")]
-    sent: Vec<WireSent>,
+    sent: Vec<WireSentPrompt>,
     #[prost(string, repeated, tag = "8")]
     loading: Vec<String>,
     #[prost(message, repeated, tag = "9")]
-    targets: Vec<WireTarget>,
+    targets: Vec<WirePublishedVersion>,
     #[prost(message, repeated, tag = "10")]
-    stores: Vec<WireStore>,
+    stores: Vec<WireStoreUpdate>,
     #[prost(message, optional, tag = "11")]
-    operator: Option<WireMark>,
+    operator: Option<WireReadMark>,
     #[prost(message, optional, tag = "12")]
-    list: Option<WireMark>,
+    list: Option<WireReadMark>,
     #[prost(message, repeated, tag = "13")]
-    loaded: Vec<WireLoaded>,
+    loaded: Vec<WireLoadedVersion>,
     #[prost(uint64, optional, tag = "14")]
     clock_ms: Option<u64>,
     #[prost(message, repeated, tag = "15")]
-    listed: Vec<WireListed>,
+    listed: Vec<WireListChange>,
     #[prost(bool, tag = "16")]
     is_immediate: bool,
     #[prost(bool, tag = "17")]
     is_for_relay: bool,
     #[prost(message, repeated, tag = "18")]
-    slow_links: Vec<WireLink>,
+    slow_links: Vec<WireSlowLink>,
     #[prost(fixed64, optional, tag = "19")]
     published_since: Option<u64>,
     #[prost(message, repeated, tag = "20")]
-    ended: Vec<WireEnded>,
+    ended: Vec<WireCrash>,
     #[prost(message, repeated, tag = "21")]
-    stops: Vec<WireStop>,
+    stops: Vec<WireQuarantine>,
     #[prost(message, repeated, tag = "22")]
-    cleared: Vec<WireCleared>,
+    cleared: Vec<WireClear>,
     #[prost(bool, tag = "23")]
     knows_quarantines: bool,
     #[prost(message, repeated, tag = "24")]
@@ -203,7 +206,7 @@
 struct WireLimit {
     #[prost(string, tag = "1")]
     upstream: String,
-    /// Nothing once the limit is over.
+    /// `None` once the limit no longer holds.
     #[prost(uint64, optional, tag = "2")]
     thousandths_per_s: Option<u64>,
     #[prost(uint64, tag = "3")]
@@ -211,7 +214,7 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct WireEnded {
+struct WireCrash {
     #[prost(string, tag = "1")]
     upstream: String,
     #[prost(bytes = "vec", repeated, tag = "2")]
@@ -229,7 +232,7 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct WireCleared {
+struct WireClear {
     #[prost(bytes = "vec", tag = "1")]
     request: Vec<u8>,
     #[prost(uint64, tag = "2")]
@@ -247,7 +250,7 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct WireStop {
+struct WireQuarantine {
     #[prost(bytes = "vec", tag = "1")]
     request: Vec<u8>,
     #[prost(uint64, tag = "2")]
@@ -257,35 +260,36 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct WireLink {
+struct WireSlowLink {
     #[prost(string, tag = "1")]
     store: String,
     #[prost(uint32, tag = "2")]
     hundredths: u32,
 }
 
-/// Weights that a peer knows to be published.
+/// Published weights, as a peer knows them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PublishedVersion {
-    /// Of which model.
+    /// Model that the weights are for.
     pub model: ModelName,
-    /// Which.
+    /// Version of the weights.
     pub version: WeightVersion,
-    /// For how long the peer has known it, in milliseconds; clocks are never compared.
+    /// How long the peer has known it, in milliseconds. A duration, because daemons' clocks are
+    /// never compared.
     pub age_ms: u64,
 }
 
-/// A change in the list of upstreams.
+/// An upstream that was added to the list of upstreams, changed in it, or removed from it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ListChange {
-    /// An upstream as it is listed now.
+    /// The upstream's current entry in the list.
     Entry(UpstreamEntry),
-    /// An upstream that is listed no more, since a record.
+    /// The upstream was removed by the record with this revision.
     Removed(UpstreamId, ListRevision),
 }
 
 impl ListChange {
-    /// Which upstream changed.
+    /// Id of the upstream that changed.
     pub fn id(&self) -> &UpstreamId {
         match self {
             Self::Entry(entry) => &entry.id,
@@ -293,7 +297,7 @@
         }
     }
 
-    /// Which record of the list says so.
+    /// Revision of the list's record that made the change.
     pub fn revision(&self) -> ListRevision {
         match self {
             Self::Entry(entry) => entry.revision,
@@ -302,80 +306,82 @@
     }
 }
 
-/// Weights that an engine has, as the daemon found that orders it.
+/// Weights that an engine has, as observed by the daemon that orders engines to load them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LoadedVersion {
-    /// Which engine.
+    /// Engine that has the weights.
     pub engine: UpstreamId,
-    /// Of which model.
+    /// Model that the weights are for.
     pub model: ModelName,
-    /// Which.
+    /// Version of the weights.
     pub version: WeightVersion,
 }
 
-/// What one daemon tells the others. Moments are on the clock of the daemon that has the message
-/// in hand: only ages travel.
+/// A message from one daemon to others. Moments in it are on the clock of the daemon that holds it
+/// in memory; it is encoded with ages instead.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerMessage {
-    /// Who speaks.
+    /// Identity and addresses of the sender.
     pub member: MemberDescriptor,
-    /// Its work at upstreams.
+    /// Work of the sender at each upstream.
     pub shares: FastMap<UpstreamId, WorkShare>,
-    /// Prompts that it sent since its last message.
+    /// Prompts that the sender sent to engines since its last message.
     pub sent: Vec<SentPrompt>,
-    /// Upstreams that load new weights at its order.
+    /// Upstreams that are loading new weights by order of the sender.
     pub loading: Vec<UpstreamId>,
-    /// The newest published weights of each model.
+    /// Newest published weights of each model.
     pub targets: Vec<PublishedVersion>,
-    /// The stores of cached parts that it follows.
+    /// Updates from the stores of prompt parts that the sender follows.
     pub stores: Vec<StoreUpdate>,
-    /// How far it has read the operator's records itself.
+    /// How far the sender itself has read the operator's records.
     pub operator: Option<ReadMark>,
-    /// From which offset on up to that one all records publish weights that `targets` has.
+    /// Offset from which on, up to the one in `operator`, all records publish weights that are in
+    /// `targets`.
     pub published_since: Option<u64>,
-    /// The list of upstreams as it has read it itself.
+    /// Digest of the list of upstreams as the sender itself has read it.
     pub list: Option<ReadMark>,
-    /// Engines that lately got their weights by its order.
+    /// Engines that recently loaded weights by order of the sender.
     pub loaded: Vec<LoadedVersion>,
-    /// The upstreams' clock, in milliseconds.
+    /// Current time on the upstreams' clock, in milliseconds.
     pub clock_ms: Option<u64>,
-    /// What lately changed in the list of upstreams, as it has read it itself.
+    /// Recent changes to the list of upstreams, as the sender itself has read it.
     pub listed: Vec<ListChange>,
-    /// Links of stores that its own fetches show to be slow.
+    /// Links of stores that were slow in the sender's own fetches.
     pub slow_links: Vec<SlowLink>,
-    /// Upstreams that lately ended, with its requests that broke off there.
+    /// Recent crashes of upstreams, each with the sender's requests that were interrupted by it.
     pub ended: Vec<CrashNotice>,
-    /// Requests that are stopped, as far as it knows.
+    /// Quarantined requests that the sender knows of.
     pub stops: Vec<QuarantineNotice>,
-    /// Requests that it has lately found to do no harm.
+    /// Requests that the sender recently cleared.
     pub cleared: Vec<ClearNotice>,
-    /// Whether it knows the records of stopped requests.
+    /// Whether the sender knows the records of quarantined requests.
     pub knows_quarantines: bool,
-    /// Data centres that are, or were, drained.
+    /// Data centres that are drained, or were earlier.
     pub drains: Vec<DrainNotice>,
-    /// How fast engines were that lately read its prompts.
+    /// Speeds of the engines that recently read prompts of the sender.
     pub speeds: Vec<EngineSpeed>,
-    /// Limits that upstreams name, and that are over.
+    /// Limits that upstreams announced, and those that no longer hold.
     pub limits: Vec<LimitNotice>,
-    /// Upstreams that lately said that they leave.
+    /// Upstreams that recently announced that they are leaving.
     pub leaving: Vec<UpstreamId>,
-    /// Whether this is a note on prompts just sent, and leaves all else as it was said before.
+    /// Whether this is an immediate message: it adds to the sender's last summary, and replaces
+    /// nothing in it.
     pub is_immediate: bool,
-    /// Whether this goes on with a message that was too long for one datagram, and says nothing of
-    /// its sender's work.
+    /// Whether this continues a message that was too long for one datagram, and does not carry the
+    /// sender's work.
     pub is_continued: bool,
-    /// Whether the receiver passes this on to the daemons of its own data centre.
+    /// Whether the receiver relays this to the daemons of its own data centre.
     pub is_for_relay: bool,
 }
 
 impl PeerMessage {
-    /// The message for another data centre of a large deployment, where one daemon passes it on to
-    /// the others.
+    /// The message for another data centre of a large deployment, where one daemon relays it to the
+    /// others.
     ///
-    /// Traffic between data centres is dear, so what they learn from their own readers and
-    /// followers is left out. A relay that was suspended passes messages on seconds late; so is
-    /// everything whose age counts, since the age would be taken from the moment of arrival: a
-    /// configuration would look confirmed that nobody has read for seconds.
+    /// Traffic between data centres is expensive, so what they learn from their own readers and
+    /// followers is left out. Everything whose age counts is left out too: a relay that was
+    /// suspended sends messages on seconds late, and receivers count the age from the moment of
+    /// arrival, so that a configuration would look confirmed that no daemon has read for seconds.
     pub fn for_relay(self) -> Self {
         Self {
             sent: Vec::new(),
@@ -391,28 +397,31 @@
         }
     }
 
-    /// The note for the relay of another data centre; nothing if no prompt concerns it.
+    /// The immediate message for the relay of another data centre; `None` if it contains nothing
+    /// that concerns that data centre.
     pub fn message_for_relay(&self, concerns: impl Fn(&SentPrompt) -> bool) -> Option<Self> {
-        let for_all = self.sent.iter().filter(|sent| concerns(sent));
-        // Transfers begun in another data centre are reckoned there from its own.
-        let plain = |sent: &SentPrompt| SentPrompt { transfers: Vec::new(), ..sent.clone() };
-        let sent: Vec<SentPrompt> = for_all.map(plain).collect();
-        let concerns_all = !self.ended.is_empty() || self.tells_words() || self.tells_verdicts();
+        let concerned = self.sent.iter().filter(|sent| concerns(sent));
+        // Each data centre estimates the load on store links from its own transfers.
+        let without_transfers =
+            |sent: &SentPrompt| SentPrompt { transfers: Vec::new(), ..sent.clone() };
+        let sent: Vec<SentPrompt> = concerned.map(without_transfers).collect();
+        let concerns_all =
+            !self.ended.is_empty() || self.has_announcements() || self.has_quarantine_changes();
         let is_due = concerns_all || !sent.is_empty();
         is_due.then(|| Self { sent, is_for_relay: true, ..self.clone() })
     }
 
-    /// Whether it says of requests that they are stopped, or are not any more.
-    fn tells_verdicts(&self) -> bool {
+    /// Whether it reports quarantined or cleared requests.
+    fn has_quarantine_changes(&self) -> bool {
         !self.stops.is_empty() || !self.cleared.is_empty()
     }
 
-    /// Whether it says what upstreams have said of themselves.
-    fn tells_words(&self) -> bool {
+    /// Whether it carries upstream announcements.
+    fn has_announcements(&self) -> bool {
         !self.limits.is_empty() || !self.leaving.is_empty()
     }
 
-    /// A message from the same daemon that goes on with this one and says nothing yet.
+    /// An empty message from the same sender that continues this one.
     pub fn continued(&self) -> Self {
         Self {
             is_continued: true,
@@ -422,10 +431,10 @@
         }
     }
 
-    /// A message that leaves all as it was said before.
-    pub fn empty(note: MemberDescriptor) -> Self {
+    /// An immediate message that carries nothing yet.
+    pub fn empty(descriptor: MemberDescriptor) -> Self {
         Self {
-            member: note,
+            member: descriptor,
             shares: FastMap::default(),
             sent: Vec::new(),
             loading: Vec::new(),
@@ -452,16 +461,18 @@
         }
     }
 
-    /// The message as a relay passes it on.
+    /// The message as a relay sends it on.
     pub fn relayed(self) -> Self {
         Self { is_for_relay: false, ..self }
     }
 
-    /// The bytes of one datagram.
+    /// Encodes the message, with moments as ages at `now`. Does not limit the length.
     pub fn encode(&self, now: Moment) -> Vec<u8> {
-        let mark =
-            |mark: ReadMark| WireMark { state: mark.state, age_ms: now.millis_since(mark.as_of) };
-        let store = |store: &StoreUpdate| WireStore {
+        let mark = |mark: ReadMark| WireReadMark {
+            state: mark.state,
+            age_ms: now.millis_since(mark.as_of),
+        };
+        let store = |store: &StoreUpdate| WireStoreUpdate {
             store: store.store.to_string(),
             epoch: store.epoch,
             age_ms: now.millis_since(store.as_of),
@@ -469,43 +480,51 @@
             keys: store.parts.iter().map(|part| part.key.0).collect(),
             tokens: store.parts.iter().map(|part| part.tokens.0).collect(),
         };
-        let loaded = |loaded: &LoadedVersion| WireLoaded {
+        let loaded = |loaded: &LoadedVersion| WireLoadedVersion {
             upstream: loaded.engine.to_string(),
             model: loaded.model.to_string(),
             version: loaded.version.0,
         };
-        let share = |(id, share): (&UpstreamId, &WorkShare)| WireShare {
+        let share = |(id, share): (&UpstreamId, &WorkShare)| WireWorkShare {
             upstream: id.to_string(),
             waiting: share.waiting.0,
             memory: share.memory.0,
             running: share.running,
         };
-        let save = |save: &PartSave| WireSave {
+        let save = |save: &PartSave| WirePartSave {
             key: save.key.0,
             store: save.store.to_string(),
             tokens: save.tokens.0,
         };
-        let sent = |sent: &SentPrompt| WireSent {
+        let sent = |sent: &SentPrompt| WireSentPrompt {
             upstream: sent.engine.to_string(),
             parts: sent.parts.iter().map(|part| part.0).collect(),
             tokens: sent.tokens.0,
             waiting: sent.waiting.0,
             priority: sent.priority.into(),
             saves: sent.saves.iter().map(save).collect(),
-            stores: sent.transfers.iter().map(|one| one.store.to_string()).collect(),
+            stores: sent
+                .transfers
+                .iter()
+                .map(|store_transfer| store_transfer.store.to_string())
+                .collect(),
             is_for_all: sent.is_for_all,
-            transfers_ms: sent.transfers.iter().map(|one| one.transfer_ms).collect(),
+            transfers_ms: sent
+                .transfers
+                .iter()
+                .map(|store_transfer| store_transfer.transfer_ms)
+                .collect(),
         };
-        let target = |target: &PublishedVersion| WireTarget {
+        let target = |target: &PublishedVersion| WirePublishedVersion {
             model: target.model.to_string(),
             version: target.version.0,
             age_ms: target.age_ms,
         };
-        let slow_link = |link: &SlowLink| WireLink {
+        let slow_link = |link: &SlowLink| WireSlowLink {
             store: link.store.to_string(),
             hundredths: link.hundredths,
         };
-        let wire = WirePeer {
+        let wire = WireMessage {
             name: self.member.name.to_string(),
             data_centre: self.member.data_centre.to_string(),
             peer_address: self.member.peer_address.to_string(),
@@ -521,11 +540,11 @@
             list: self.list.map(mark),
             loaded: self.loaded.iter().map(loaded).collect(),
             clock_ms: self.clock_ms,
-            listed: self.listed.iter().map(|change| wire_listed(change, now)).collect(),
+            listed: self.listed.iter().map(|change| wire_list_change(change, now)).collect(),
             slow_links: self.slow_links.iter().map(slow_link).collect(),
-            ended: self.ended.iter().map(|end| wire_ended(end, now)).collect(),
-            stops: self.stops.iter().map(wire_stop).collect(),
-            cleared: self.cleared.iter().map(|notice| wire_cleared(notice, now)).collect(),
+            ended: self.ended.iter().map(|crash| wire_crash(crash, now)).collect(),
+            stops: self.stops.iter().map(wire_quarantine).collect(),
+            cleared: self.cleared.iter().map(|notice| wire_clear(notice, now)).collect(),
             knows_quarantines: self.knows_quarantines,
             drains: self.drains.iter().map(wire_drain).collect(),
             speeds: self.speeds.iter().map(wire_speed).collect(),
@@ -538,18 +557,21 @@
         wire.encode_to_vec()
     }
 
-    /// Reads a datagram that has just come; nothing if it is none of ours.
+    /// Decodes a datagram that has just arrived. Returns `None` if it is no message of a daemon.
     pub fn decode(bytes: &[u8], now: Moment) -> Option<Self> {
         Self::decode_waiting(bytes, now, now)
     }
 
-    /// Reads a datagram that has come at some moment since another. Both ages and times left are
-    /// taken for the worse: what was so long ago may be older, and what lasts may last from now.
+    /// Decodes a datagram that arrived at an unknown moment between `since` and `now`, and takes
+    /// the worst case: ages count back from `since`, and times left count from `now`. Returns
+    /// `None` if it is no message of a daemon.
     pub fn decode_waiting(bytes: &[u8], since: Moment, now: Moment) -> Option<Self> {
-        let mark =
-            |mark: WireMark| ReadMark { state: mark.state, as_of: since.minus_millis(mark.age_ms) };
-        let store = |store: WireStore| {
-            let news = |(key, tokens): (u64, u64)| PartChange {
+        let mark = |mark: WireReadMark| ReadMark {
+            state: mark.state,
+            as_of: since.minus_millis(mark.age_ms),
+        };
+        let store = |store: WireStoreUpdate| {
+            let part_change = |(key, tokens): (u64, u64)| PartChange {
                 key: PartKey(key),
                 tokens: TokenCount(tokens),
             };
@@ -558,26 +580,26 @@
                 epoch: store.epoch,
                 as_of: since.minus_millis(store.age_ms),
                 is_whole: store.is_whole,
-                parts: store.keys.into_iter().zip(store.tokens).map(news).collect(),
+                parts: store.keys.into_iter().zip(store.tokens).map(part_change).collect(),
             })
         };
-        let loaded = |loaded: WireLoaded| {
+        let loaded = |loaded: WireLoadedVersion| {
             Some(LoadedVersion {
                 engine: loaded.upstream.parse().ok()?,
                 model: loaded.model.parse().ok()?,
                 version: WeightVersion(loaded.version),
             })
         };
-        let wire = WirePeer::decode(bytes).ok()?;
+        let wire = WireMessage::decode(bytes).ok()?;
         let address = |text: &str| text.parse::<SocketAddr>().ok();
-        let note = MemberDescriptor {
+        let descriptor = MemberDescriptor {
             name: wire.name.parse().ok()?,
             data_centre: wire.data_centre.parse().ok()?,
             peer_address: address(&wire.peer_address)?,
             caller_address: address(&wire.caller_address)?,
             is_ready: wire.is_ready,
         };
-        let share = |share: &WireShare| {
+        let share = |share: &WireWorkShare| {
             let work = WorkShare {
                 waiting: TokenCount(share.waiting),
                 memory: TokenCount(share.memory),
@@ -588,11 +610,11 @@
         let transfer = |(store, millis): (&String, &u32)| {
             Some(StoreTransfer { store: store.parse().ok()?, transfer_ms: *millis })
         };
-        let save = |save: &WireSave| {
+        let save = |save: &WirePartSave| {
             let store = save.store.parse().ok()?;
             Some(PartSave { key: PartKey(save.key), store, tokens: TokenCount(save.tokens) })
         };
-        let sent = |sent: &WireSent| {
+        let sent = |sent: &WireSentPrompt| {
             let engine = sent.upstream.parse().ok()?;
             let parts = sent.parts.iter().map(|part| PartKey(*part)).collect();
             Some(SentPrompt {
@@ -611,7 +633,7 @@
                     .collect(),
             })
         };
-        let target = |target: &WireTarget| {
+        let target = |target: &WirePublishedVersion| {
             let version = WeightVersion(target.version);
             Some(PublishedVersion {
                 model: target.model.parse().ok()?,
@@ -619,11 +641,11 @@
                 age_ms: target.age_ms,
             })
         };
-        let slow_link = |link: &WireLink| {
+        let slow_link = |link: &WireSlowLink| {
             Some(SlowLink { store: link.store.parse().ok()?, hundredths: link.hundredths })
         };
         Some(Self {
-            member: note,
+            member: descriptor,
             shares: wire.shares.iter().filter_map(share).collect(),
             sent: wire.sent.iter().filter_map(sent).collect(),
             loading: wire.loading.iter().filter_map(|id| id.parse().ok()).collect(),
@@ -634,10 +656,10 @@
             list: wire.list.map(mark),
             loaded: wire.loaded.into_iter().filter_map(loaded).collect(),
             clock_ms: wire.clock_ms,
-            listed: wire.listed.iter().filter_map(|change| listed_change(change, now)).collect(),
+            listed: wire.listed.iter().filter_map(|change| list_change(change, now)).collect(),
             slow_links: wire.slow_links.iter().filter_map(slow_link).collect(),
-            ended: wire.ended.iter().filter_map(|end| crash_notice(end, since)).collect(),
-            stops: wire.stops.iter().filter_map(stop_notice).collect(),
+            ended: wire.ended.iter().filter_map(|crash| crash_notice(crash, since)).collect(),
+            stops: wire.stops.iter().filter_map(quarantine_notice).collect(),
             cleared: wire.cleared.iter().filter_map(|wire| clear_notice(wire, since)).collect(),
             knows_quarantines: wire.knows_quarantines,
             drains: wire.drains.iter().filter_map(drain_notice).collect(),
@@ -651,13 +673,13 @@
     }
 }
 
-fn wire_ended(notice: &CrashNotice, now: Moment) -> WireEnded {
+fn wire_crash(notice: &CrashNotice, now: Moment) -> WireCrash {
     let requests = notice.requests.iter().map(|digest| digest.to_bytes()).collect();
     let age_ms = now.millis_since(notice.at);
-    WireEnded { upstream: notice.upstream.to_string(), requests, age_ms }
+    WireCrash { upstream: notice.upstream.to_string(), requests, age_ms }
 }
 
-fn crash_notice(wire: &WireEnded, now: Moment) -> Option<CrashNotice> {
+fn crash_notice(wire: &WireCrash, now: Moment) -> Option<CrashNotice> {
     let requests =
         wire.requests.iter().filter_map(|bytes| RequestDigest::from_bytes(bytes)).collect();
     let at = now.minus_millis(wire.age_ms);
@@ -688,21 +710,21 @@
     Some(EngineSpeed { engine: wire.engine.parse().ok()?, rate: TokenRate(wire.tokens_per_s) })
 }
 
-fn wire_cleared(notice: &ClearNotice, now: Moment) -> WireCleared {
-    WireCleared { request: notice.request.to_bytes(), age_ms: now.millis_since(notice.at) }
+fn wire_clear(notice: &ClearNotice, now: Moment) -> WireClear {
+    WireClear { request: notice.request.to_bytes(), age_ms: now.millis_since(notice.at) }
 }
 
-fn clear_notice(wire: &WireCleared, now: Moment) -> Option<ClearNotice> {
+fn clear_notice(wire: &WireClear, now: Moment) -> Option<ClearNotice> {
     let request = RequestDigest::from_bytes(&wire.request)?;
     Some(ClearNotice { request, at: now.minus_millis(wire.age_ms) })
 }
 
-fn wire_stop(stop: &QuarantineNotice) -> WireStop {
-    let request = stop.request.to_bytes();
-    WireStop { request, left_ms: stop.left_ms, times: stop.times }
+fn wire_quarantine(quarantine: &QuarantineNotice) -> WireQuarantine {
+    let request = quarantine.request.to_bytes();
+    WireQuarantine { request, left_ms: quarantine.left_ms, times: quarantine.times }
 }
 
-fn stop_notice(wire: &WireStop) -> Option<QuarantineNotice> {
+fn quarantine_notice(wire: &WireQuarantine) -> Option<QuarantineNotice> {
     let request = RequestDigest::from_bytes(&wire.request)?;
     Some(QuarantineNotice { request, left_ms: wire.left_ms, times: wire.times })
 }
@@ -717,15 +739,15 @@
     Some(DrainNotice { data_centre, as_of: wire.as_of, is_drained: wire.is_drained })
 }
 
-fn wire_listed(change: &ListChange, now: Moment) -> WireListed {
+fn wire_list_change(change: &ListChange, now: Moment) -> WireListChange {
     match change {
-        ListChange::Removed(id, revision) => WireListed {
+        ListChange::Removed(id, revision) => WireListChange {
             upstream: id.to_string(),
             is_removed: true,
             revision: revision.0,
-            ..WireListed::default()
+            ..WireListChange::default()
         },
-        ListChange::Entry(entry) => WireListed {
+        ListChange::Entry(entry) => WireListChange {
             upstream: entry.id.to_string(),
             is_removed: false,
             service: entry.service.to_string(),
@@ -741,7 +763,7 @@
     }
 }
 
-fn listed_change(wire: &WireListed, now: Moment) -> Option<ListChange> {
+fn list_change(wire: &WireListChange, now: Moment) -> Option<ListChange> {
     let id: UpstreamId = wire.upstream.parse().ok()?;
     let is_cold = wire.cold_left_ms > 0;
     let cold_until =
