--- a/crates/guava-serve/src/members/peer_message.rs
+++ b/crates/guava-serve/src/members/peer_message.rs
@@ -364,8 +364,7 @@
     pub limits: Vec<LimitNotice>,
     /// Upstreams that recently announced that they are leaving.
     pub leaving: Vec<UpstreamId>,
-    /// Whether this is an immediate message: it adds to the sender's last summary, and replaces
-    /// nothing in it.
+    /// Whether this is an immediate message: what it does not carry stays as it was last sent.
     pub is_immediate: bool,
     /// Whether this continues a message that was too long for one datagram, and does not carry the
     /// sender's work.
