--- a/crates/guava-serve/src/members/list_change_gossip.rs
+++ b/crates/guava-serve/src/members/list_change_gossip.rs
@@ -11,9 +11,9 @@
 /// not matter.
 const CHANGE_RETENTION_MS: u64 = 1_200;
 /// Most changes in one datagram; each takes about a hundred bytes.
-pub(crate) const MOST_TOLD: usize = 40;
-/// Most changes kept at a time. A quarter of some hundred upstreams may be added or lost at once; a peer
-/// that does not receive each of these changes reads the list.
+pub(crate) const MAX_CHANGES_PER_DATAGRAM: usize = 40;
+/// Most changes kept at a time. A quarter of some hundred upstreams may be added or lost at once; a
+/// peer that does not receive each of these changes reads the list.
 const MAX_KEPT_CHANGES: usize = 1_000;
 
 /// Changes that are sent to peers until their retention is over, in the order of arrival.
--- a/crates/guava-serve/src/members/peer_exchange.rs
+++ b/crates/guava-serve/src/members/peer_exchange.rs
@@ -1,7 +1,7 @@
 //! What a daemon tells its peers, and what it takes from their messages.
 
 use crate::events;
-use crate::members::list_change_gossip::MOST_TOLD;
+use crate::members::list_change_gossip::MAX_CHANGES_PER_DATAGRAM;
 use crate::members::member_table::MemberDescriptor;
 use crate::members::peer_message::{ListChange, LoadedVersion, PeerMessage, PublishedVersion};
 use crate::members::shared_reads::{ReadMark, ReadTracker, STANDBYS};
@@ -60,7 +60,7 @@
     let listed = context.list_change_gossip.borrow_mut().told(now);
     let announcements = summary_announcements(context, now);
     // A digest without all changes behind it would make everybody read the list.
-    let is_list_told = listed.len() <= MOST_TOLD;
+    let is_list_told = listed.len() <= MAX_CHANGES_PER_DATAGRAM;
     PeerMessage {
         member: news.member,
         shares,
@@ -176,7 +176,8 @@
         listed: listed.to_vec(),
         ..PeerMessage::empty(note.clone())
     };
-    let mut messages: Vec<PeerMessage> = listed.chunks(MOST_TOLD).map(message).collect();
+    let mut messages: Vec<PeerMessage> =
+        listed.chunks(MAX_CHANGES_PER_DATAGRAM).map(message).collect();
     // The digest goes with the last of the changes that lead to it.
     let last = messages.pop().unwrap_or_else(|| message(&[]));
     let published_since = reads.published_since;
