--- a/crates/guava-serve/src/arrival.rs
+++ b/crates/guava-serve/src/arrival.rs
@@ -1,8 +1,8 @@
-//! Waits that tell a silent peer from a process that did not run.
+//! Waits with a deadline that tell a missing answer from a process that did not run.
 //!
-//! A process that gets no processor for a while wakes with its timers over and with bytes in its
-//! sockets. The tasks that read the connections run after the one whose timer is over, which would
-//! take the answer for missing though it came in time.
+//! A process that gets no processor time for a while resumes with expired timers and with unread
+//! bytes in its sockets. The task whose timer expired runs before the tasks that read the
+//! connections, and would take the answer for missing although it arrived in time.
 
 use guava_types::Deadline;
 use std::future::poll_fn;
@@ -11,17 +11,19 @@
 use tokio::task::yield_now;
 use tokio::time::timeout;
 
-/// Turns of the runtime in which bytes that lie in a socket reach who waits for them: one for the
-/// socket, and one for each task on the way, with some for an answer that is read in pieces.
-const SETTLE_TURNS: usize = 8;
+/// Polls after the deadline in which bytes that lie in a socket reach the waiting task: one for the
+/// socket, one for each task in between, and some more for an answer that is read in several pieces.
+const MAX_SETTLE_POLLS: usize = 8;
 
-/// Waits for a future until a deadline; what has arrived by then counts, also if it was not read yet.
+/// Waits for a future until a deadline; `None` if it did not complete.
+///
+/// An answer that arrived before the deadline counts even if it was not read by then.
 pub async fn until<F: Future>(deadline: Deadline, future: F) -> Option<F::Output> {
     let mut future = pin!(future);
     if let Ok(done) = timeout(deadline.time_left(), &mut future).await {
         return Some(done);
     }
-    for _ in 0..SETTLE_TURNS {
+    for _ in 0..MAX_SETTLE_POLLS {
         yield_now().await;
         let polled = poll_fn(|context| Poll::Ready(future.as_mut().poll(context))).await;
         if let Poll::Ready(done) = polled {
--- a/crates/guava-serve/src/config_intake.rs
+++ b/crates/guava-serve/src/config_intake.rs
@@ -1,11 +1,13 @@
-//! Takes a configuration in: puts it in force if it is newer, and tells those who depend on it.
+//! Applies a configuration: puts it in force if it is newer than the current one, and updates the
+//! table of upstreams and the metrics that depend on it.
 
 use crate::events;
 use crate::serve_config::ServeConfig;
 use crate::serve_context::ServeContext;
 use guava_log::log_event;
 
-/// Takes a configuration in as it was read.
+/// Puts a configuration in force if its version is higher than the current one; else logs and
+/// ignores it.
 pub fn apply_config(context: &ServeContext, config: ServeConfig) {
     let version = config.version;
     let services = config.services().map(|service| service.name.clone()).collect();
--- a/crates/guava-serve/src/lib.rs
+++ b/crates/guava-serve/src/lib.rs
@@ -1,7 +1,7 @@
-//! The request path: from an accepted request to the answer's last byte, whoever speaks to us.
+//! The request path: from an accepted request to the last byte of its answer.
 //!
-//! What varies between deployments is passed in as plain parts and a [`Dialect`]; what decides is
-//! plain functions over these parts, testable without a network.
+//! What differs between deployments is passed in as plain data and a [`Dialect`]. Decisions are made
+//! by functions of plain data, which can be tested without a network.
 
 mod arrival;
 mod config_intake;
--- a/crates/guava-serve/src/metrics.rs
+++ b/crates/guava-serve/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms, served as text.
+//! Counters, gauges and histograms of the request path, encoded as OpenMetrics text.
 
 use guava_types::UpstreamId;
 use prometheus_client::encoding::EncodeLabelSet;
@@ -10,40 +10,40 @@
 use prometheus_client::registry::Registry;
 use std::sync::atomic::AtomicU64;
 
-/// Bounds of the latency histograms, in seconds: objectives run from a tenth of a second to one.
+/// Bucket bounds of the latency histograms, in seconds; objectives range from 0.1 s to 1 s.
 const LATENCY_BOUNDS_S: [f64; 10] = [0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4];
 
-/// What a count is of.
+/// Label that divides a counter by kind of event.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct KindLabel {
-    /// In a word.
+    /// The kind, as a fixed short text.
     pub kind: &'static str,
 }
 
-/// Which upstream a level is of.
+/// Label that divides a gauge by upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct UpstreamLabel {
-    /// Its id.
+    /// Id of the upstream as text.
     pub upstream: String,
 }
 
-/// An upstream's limit and what this daemon has of it, in requests a second.
+/// An upstream's rate limit and this daemon's share of it, in requests a second.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LimitLevel {
-    /// Which upstream.
+    /// The upstream that has the limit.
     pub upstream: UpstreamId,
-    /// Its limit on all daemons together.
+    /// Rate limit for all daemons together.
     pub limit: f64,
     /// This daemon's share.
     pub share: f64,
-    /// What this daemon has lately sent.
+    /// Rate at which this daemon recently sent requests.
     pub sends: f64,
 }
 
-/// Levels by upstream.
+/// Gauges by upstream.
 type UpstreamLevels = Family<UpstreamLabel, Gauge<f64, AtomicU64>>;
 
-/// The metrics of one daemon.
+/// The metrics of one daemon; names and labels are read by the operators' tools.
 #[derive(Debug)]
 pub struct ServeMetrics {
     registry: Registry,
@@ -120,42 +120,42 @@
     millis as f64 / 1_000.0
 }
 
-fn level(count: u64) -> i64 {
+fn gauge_value(count: u64) -> i64 {
     i64::try_from(count).unwrap_or(i64::MAX)
 }
 
 impl ServeMetrics {
-    /// Counts a request by its outcome.
+    /// Counts a finished request; `kind` is its outcome.
     pub fn count_request(&self, kind: &'static str) {
         self.requests.get_or_create(&KindLabel { kind }).inc();
     }
 
-    /// Counts a send by its result.
+    /// Counts a send to an upstream; `kind` is its result.
     pub fn count_send(&self, kind: &'static str) {
         self.sends.get_or_create(&KindLabel { kind }).inc();
     }
 
-    /// Counts a call to the platform's store.
+    /// Counts a call to the platform's store; `kind` tells which.
     pub fn count_store_call(&self, kind: &'static str) {
         self.store_calls.get_or_create(&KindLabel { kind }).inc();
     }
 
-    /// Counts a record that can't be read.
+    /// Counts an unreadable record; `kind` tells which.
     pub fn count_bad_record(&self, kind: &'static str) {
         self.bad_records.get_or_create(&KindLabel { kind }).inc();
     }
 
-    /// Counts a message between daemons that was lost.
+    /// Counts a lost message between daemons; `kind` is the reason.
     pub fn count_lost_message(&self, kind: &'static str) {
         self.lost_messages.get_or_create(&KindLabel { kind }).inc();
     }
 
-    /// Counts a change of what an upstream says of itself.
+    /// Counts a changed upstream announcement; `kind` tells which.
     pub fn count_announcement(&self, kind: &'static str) {
         self.announcements.get_or_create(&KindLabel { kind }).inc();
     }
 
-    /// Notes the upstreams that have a limit, and no other.
+    /// Sets the gauges of the upstreams that have a rate limit, and removes those of all others.
     pub fn note_limits(&self, levels: &[LimitLevel]) {
         for levels in [&self.limits, &self.limit_shares, &self.limited_sends] {
             levels.clear();
@@ -168,29 +168,29 @@
         }
     }
 
-    /// Records the time to an answer's first byte.
+    /// Records the time to an answer's first byte, in milliseconds.
     pub fn time_first(&self, millis: u64) {
         self.first_answer.observe(seconds(millis));
     }
 
-    /// Records the time to an answer's last byte.
+    /// Records the time to an answer's last byte, in milliseconds.
     pub fn time_whole(&self, millis: u64) {
         self.whole_answer.observe(seconds(millis));
     }
 
-    /// Notes the configuration in force.
+    /// Records the version of the current configuration.
     pub fn note_config(&self, version: u64) {
-        self.config_version.set(level(version));
+        self.config_version.set(gauge_value(version));
     }
 
-    /// Notes how many upstreams and daemons are known, and log lines dropped.
+    /// Sets the numbers of known upstreams, of daemons in contact, and of dropped log lines.
     pub fn note_levels(&self, upstreams: usize, members: usize, dropped_lines: u64) {
-        self.upstreams.set(level(upstreams as u64));
-        self.members.set(level(members as u64));
-        self.dropped_lines.set(level(dropped_lines));
+        self.upstreams.set(gauge_value(upstreams as u64));
+        self.members.set(gauge_value(members as u64));
+        self.dropped_lines.set(gauge_value(dropped_lines));
     }
 
-    /// All metrics as OpenMetrics text.
+    /// All metrics as OpenMetrics text; a comment line with the error if they can't be encoded.
     pub fn text(&self) -> String {
         let mut text = String::new();
         match encode(&mut text, &self.registry) {
--- a/crates/guava-serve/src/ports.rs
+++ b/crates/guava-serve/src/ports.rs
@@ -1,7 +1,7 @@
-//! What the duties beside requests need from outside; an adapter fills these in.
+//! Interfaces through which the background tasks call external services; an adapter provides them.
 //!
-//! Each port is a struct of closures that carry out one call and give its result in the product's
-//! types. Which call is made when, and what follows from its result, is decided by the duties.
+//! Each port is a struct of closures that make one call and return its result in this crate's types.
+//! The tasks decide when a call is made and what follows from its result.
 
 use crate::parts::part_index::{HeldPart, PartEvent};
 use crate::upstreams::quarantine_record::QuarantineRecord;
@@ -14,138 +14,138 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Why a call gave nothing.
+/// A call to an external service failed.
 #[derive(Debug, Snafu)]
 #[snafu(display("{reason}"))]
 pub struct PortError {
-    /// In the adapter's words.
+    /// The adapter's error as text, for logs.
     pub reason: Box<str>,
 }
 
 impl PortError {
-    /// An error as the adapter shows it.
+    /// Keeps the displayed text of an adapter's error.
     pub fn new(error: &impl fmt::Display) -> Self {
         Self { reason: error.to_string().into() }
     }
 }
 
-/// The result of a call.
+/// The pending result of a call; not `Send`, since all tasks run on one thread.
 pub type PortFuture<T> = LocalBoxFuture<'static, Result<T, PortError>>;
 
-/// What a read of the lease's records brought.
+/// Result of a read of the lease records.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LeaseUpdate {
-    /// The newest record, if there was a new one.
+    /// The newest record; `None` if there is none from the requested offset on.
     pub newest: Option<LeaseEntry>,
-    /// Offset of the next record.
+    /// Offset at which the next read continues.
     pub next: u64,
 }
 
-/// The lease for orders, where daemons agree on it.
+/// Access to the log by which daemons agree on the holder of the lease for orders.
 pub struct LeasePort {
-    /// Reads the records from an offset on; waits so many milliseconds for the first one.
+    /// Reads the records from an offset on; waits up to the given milliseconds for the first one.
     pub read: Rc<dyn Fn(u64, u64) -> PortFuture<LeaseUpdate>>,
-    /// Writes a record if the next one still has this offset. Whether it was written shows only in
-    /// what is read afterwards.
+    /// Writes a record if the next free offset is still the given one. Success does not tell whether
+    /// it was written; a later read does.
     pub request: Rc<dyn Fn(LeaseEntry, u64) -> PortFuture<()>>,
 }
 
-/// An engine's report.
+/// Answer of an engine to the report call.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EngineReport {
-    /// Weights that it has.
+    /// Loaded weights of each model.
     pub versions: FastMap<ModelName, WeightVersion>,
-    /// Whether an order is being carried out.
+    /// Whether the engine is executing an order.
     pub is_busy: bool,
-    /// Orders accepted since its start; an order may be made conditional on it.
+    /// Orders accepted since its start; see `LoadOrder::orders_before`.
     pub orders: u64,
-    /// When it started, in milliseconds of Unix time, if it tells.
+    /// When it started, in milliseconds of Unix time, if reported.
     pub start_ms: Option<u64>,
 }
 
-/// An order to load weights.
+/// An order to an engine to load weights.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadOrder {
-    /// Engine that must carry it out, and no other at its address.
+    /// The engine meant; another one at the same address must reject the order.
     pub engine: UpstreamId,
-    /// Where.
+    /// Address of the engine.
     pub address: SocketAddr,
-    /// Which model.
+    /// Model whose weights are replaced.
     pub model: ModelName,
-    /// Weights to load.
+    /// Version to load.
     pub version: WeightVersion,
-    /// Who orders.
+    /// Holder of the lease for orders, which sends this one.
     pub holder: Box<str>,
-    /// Fencing token.
+    /// Fencing token of the lease.
     pub fence: u64,
-    /// Orders that the engine must have accepted so far: an order that is carried out late finds
+    /// Number of orders that the engine must have accepted before this one; a delayed order finds
     /// another number and has no effect.
     pub orders_before: u64,
 }
 
-/// Engines, beside requests.
+/// Calls to engines other than requests.
 pub struct EnginePort {
-    /// Asks an engine at an address for its report.
+    /// Requests the report of the engine at an address.
     pub report: Rc<dyn Fn(UpstreamId, SocketAddr) -> PortFuture<EngineReport>>,
-    /// Orders an engine to load weights.
+    /// Sends an order to load weights.
     pub order: Rc<dyn Fn(LoadOrder) -> PortFuture<()>>,
 }
 
-/// What a store of cached parts reports.
+/// Changes that a store of prompt parts reports.
 #[derive(Clone, Debug)]
 pub struct PartReport {
-    /// Changes with each restart.
+    /// Differs after each restart of the store.
     pub epoch: u64,
-    /// From where the next report goes on.
+    /// Number from which the next report continues.
     pub next: u64,
-    /// Whether changes are missing.
+    /// Whether changes are missing, so that the store must be listed again.
     pub is_gapped: bool,
-    /// Changes.
+    /// Changes since the requested number.
     pub events: Vec<PartEvent>,
-    /// The upstreams' clock, in milliseconds.
+    /// The upstreams' clock at the time of the report, in milliseconds, if reported.
     pub clock_ms: Option<u64>,
 }
 
-/// All that a store of cached parts holds.
+/// Complete contents of a store of prompt parts.
 #[derive(Clone, Debug)]
 pub struct PartList {
-    /// Changes with each restart.
+    /// Differs after each restart of the store.
     pub epoch: u64,
-    /// From where reports go on.
+    /// Number from which reports of changes continue.
     pub next: u64,
-    /// Its parts.
+    /// All parts that it holds.
     pub held: Vec<HeldPart>,
 }
 
-/// An order to free parts.
+/// An order to a store to free prompt parts.
 #[derive(Clone, Debug)]
 pub struct FreeOrder {
-    /// Which store.
+    /// Address of the store.
     pub store: SocketAddr,
-    /// Its start, as known; after another one the order has no effect.
+    /// Last known epoch of the store; in another epoch the order has no effect.
     pub epoch: u64,
-    /// Which parts.
+    /// Parts to free.
     pub parts: Vec<HeldPart>,
-    /// On the upstreams' clock, in milliseconds: later the order has no effect.
+    /// Deadline on the upstreams' clock, in milliseconds, after which the order has no effect.
     pub until_ms: Option<u64>,
 }
 
-/// Stores of cached parts, beside requests.
+/// Calls to stores of prompt parts other than transfers for requests.
 pub struct PartPort {
-    /// Changes since a number; waits so many milliseconds for the first one.
+    /// Reads the changes from a number on; waits up to the given milliseconds for the first one.
     pub events: Rc<dyn Fn(SocketAddr, u64, u64) -> PortFuture<PartReport>>,
-    /// Everything that a store holds.
+    /// Lists the complete contents of a store.
     pub list: Rc<dyn Fn(SocketAddr) -> PortFuture<PartList>>,
-    /// Frees parts.
+    /// Orders a store to free parts.
     pub free: Rc<dyn Fn(FreeOrder) -> PortFuture<()>>,
 }
 
-/// Records of stopped requests, where they outlast the daemons.
+/// Storage of quarantine records, which survives the exit of all daemons.
 pub struct QuarantinePort {
-    /// Reads all.
+    /// Reads all records.
     pub read: Rc<dyn Fn() -> PortFuture<Vec<QuarantineRecord>>>,
-    /// Writes one.
+    /// Writes one record.
     pub write: Rc<dyn Fn(QuarantineRecord) -> PortFuture<()>>,
-    /// Drops one.
+    /// Removes the record of a request.
     pub remove: Rc<dyn Fn(RequestDigest) -> PortFuture<()>>,
 }
--- a/crates/guava-serve/src/serve_config.rs
+++ b/crates/guava-serve/src/serve_config.rs
@@ -1,4 +1,4 @@
-//! The effective configuration as the request path sees it, whoever published it.
+//! The effective configuration of the request path, independent of its published format.
 
 use guava_policy::ColdRule;
 use guava_types::{CustomerId, DataCentre, FastMap, ModelName, ServiceName, TokenCount};
@@ -16,21 +16,21 @@
     }
 }
 
-/// Whether and how a request may run more than once.
+/// Whether a request may be run more than once, and whether its answer is a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RepeatRule {
-    /// Any number of times.
+    /// May be run any number of times.
     Idempotent,
-    /// Once at most.
+    /// Must be run at most once.
     NonIdempotent,
-    /// A stream of events that can't be taken up again: once at most.
+    /// A stream of events that can't be resumed: must be run at most once.
     Stream,
-    /// A stream of events that another upstream can take up after any event.
+    /// A stream of events that another upstream can resume after any event.
     ResumableStream,
 }
 
 impl RepeatRule {
-    /// Whether a run whose outcome is unknown may be followed by another one.
+    /// Whether a request may be run again when the outcome of an earlier run is unknown.
     pub fn may_repeat(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
@@ -41,141 +41,141 @@
     }
 }
 
-/// One route.
+/// Rule for the requests to one host with one path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteRule {
-    /// For logs.
+    /// Name in log lines.
     pub name: Box<str>,
-    /// Host that it belongs to, in lower case.
+    /// Host of the requests, in lower case.
     pub host: Box<str>,
-    /// Beginning of the paths that it takes.
+    /// Path prefix of the requests; the longest matching prefix of a host decides.
     pub prefix: Box<str>,
-    /// Services that share its requests, with their weights.
+    /// Services among which the requests are divided, with their weights.
     pub services: Vec<(ServiceName, u32)>,
-    /// What may be repeated.
+    /// Whether its requests may be run more than once.
     pub repeat: RepeatRule,
-    /// Longest time that a caller is kept waiting, in milliseconds.
+    /// Longest time until a caller gets its answer or an error, in milliseconds.
     pub time_limit_ms: u64,
-    /// Time in which an answer should come, in milliseconds; of streams the first event.
+    /// Objective for the time to the answer, or to the first event of a stream, in milliseconds.
     pub objective_ms: u64,
-    /// Rank among requests; 0 goes first.
+    /// Priority of its requests; 0 is served first.
     pub priority: u8,
-    /// Upstreams on which one request may run.
+    /// Largest number of upstreams on which one request may be run.
     pub max_attempts: u32,
-    /// Whether callers need no key.
+    /// Whether callers without a known key are admitted.
     pub is_public: bool,
 }
 
-/// What is known of a service's engines.
+/// Properties that all engines of a service share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineTraits {
-    /// Requests that one decodes at a time.
+    /// Requests that one engine decodes at a time.
     pub slots: u32,
-    /// Cache memory of one, in tokens.
+    /// Cache memory of one engine, in tokens.
     pub memory: TokenCount,
-    /// Bytes of cache for one token.
+    /// Bytes of cached KV data per token.
     pub token_bytes: u64,
-    /// Throughput of one's link in bytes a second.
+    /// Throughput of one engine's link, in bytes a second.
     pub bytes_per_s: u64,
-    /// Models that they serve.
+    /// Models that the engines serve.
     pub models: Vec<ModelName>,
 }
 
-/// A store of cached prompt parts.
+/// Address and properties of a store of prompt parts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoreTraits {
-    /// Its name.
+    /// Service name of the store.
     pub name: ServiceName,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Data centre in which it runs.
     pub data_centre: DataCentre,
-    /// What it can hold.
+    /// Capacity, in tokens.
     pub memory: TokenCount,
-    /// Throughput of its link in bytes a second.
+    /// Throughput of its link, in bytes a second.
     pub bytes_per_s: u64,
     /// Time before the first byte of a transfer, in milliseconds.
     pub first_byte_ms: f64,
-    /// Whether it frees nothing by itself.
+    /// Whether it frees parts only on order, not by itself.
     pub is_managed: bool,
 }
 
-/// One service.
+/// Rule for the upstreams of one service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceRule {
-    /// Its name.
+    /// Name by which routes and upstreams refer to it.
     pub name: ServiceName,
-    /// What its engines have in common; nothing for a plain service.
+    /// Properties of its engines; `None` for a service without engines.
     pub engine: Option<EngineTraits>,
-    /// What its upstreams bear while they are cold; nothing if that is no matter.
+    /// Limit on requests to its upstreams while they are cold; `None` for no limit.
     pub cold: Option<ColdRule>,
 }
 
-/// One customer.
+/// Rule for the requests of one customer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CustomerRule {
-    /// Its name.
+    /// Identifies the customer.
     pub name: CustomerId,
-    /// Rank that replaces the route's.
+    /// Priority that replaces the route's.
     pub priority: Option<u8>,
-    /// Whether it shares no cached part with any other customer.
+    /// Whether it shares no prompt parts with other customers.
     pub is_isolated: bool,
 }
 
-/// What callers may send and how long they may take.
+/// Limits on the size of callers' requests and on the time that they take to send them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Bytes of a request's head.
+    /// Largest size of a request's head, in bytes.
     pub header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Largest size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// Milliseconds in which a head must be in.
+    /// Longest time until a request's head is complete, in milliseconds.
     pub header_ms: u64,
-    /// Milliseconds for which a connection may stay idle.
+    /// Longest time that a connection may stay idle, in milliseconds.
     pub idle_ms: u64,
 }
 
 impl Default for CallerLimits {
-    /// Limits until a configuration is known: common defaults of HTTP servers.
+    /// Limits that apply until a configuration is known: common defaults of HTTP servers.
     fn default() -> Self {
         Self { header_bytes: 16_384, body_bytes: 4_194_304, header_ms: 3_000, idle_ms: 15_000 }
     }
 }
 
-/// What a configuration is made of.
+/// Contents of a configuration before it is indexed.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigParts {
-    /// Which one.
+    /// Version under which it was published.
     pub version: ConfigVersion,
-    /// All routes.
+    /// Routes of all hosts, in any order.
     pub routes: Vec<RouteRule>,
-    /// All services that take requests.
+    /// Services that accept requests.
     pub services: Vec<ServiceRule>,
-    /// All stores of cached parts.
+    /// Stores of prompt parts.
     pub stores: Vec<StoreTraits>,
-    /// Customers with the keys that they may use; nothing if callers need no key at all.
+    /// Customers with their keys; `None` if callers need no key.
     pub customers: Option<Vec<(CustomerRule, Vec<Box<str>>)>>,
-    /// Limits for callers.
+    /// Limits on what callers may send.
     pub limits: CallerLimits,
 }
 
-/// Who a caller is.
+/// Identity of a caller, as found by its key.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallerIdentity {
-    /// A customer, by its key.
+    /// The customer that owns the caller's key.
     Customer(Rc<CustomerRule>),
-    /// Nobody in particular: no key is needed.
+    /// A caller without a known key, admitted because none is needed.
     Anonymous,
 }
 
 /// One published configuration, indexed for the request path.
 #[derive(Clone, Debug, Default)]
 pub struct ServeConfig {
-    /// Which one.
+    /// Version under which it was published.
     pub version: ConfigVersion,
-    /// Limits for callers.
+    /// Limits on what callers may send.
     pub limits: CallerLimits,
-    /// Stores of cached parts.
+    /// Stores of prompt parts.
     pub stores: Vec<Rc<StoreTraits>>,
     hosts: FastMap<Box<str>, Vec<Rc<RouteRule>>>,
     services: FastMap<ServiceName, Rc<ServiceRule>>,
@@ -184,7 +184,7 @@
 }
 
 impl ServeConfig {
-    /// Indexes a configuration.
+    /// Indexes a configuration; where a key occurs twice, its last owner counts.
     pub fn new(parts: ConfigParts) -> Self {
         let mut hosts: FastMap<Box<str>, Vec<Rc<RouteRule>>> = FastMap::default();
         for route in parts.routes {
@@ -211,28 +211,28 @@
         }
     }
 
-    /// The route of a request: the longest prefix among its host's.
+    /// The host's route with the longest prefix of the path; `None` if no prefix matches.
     pub fn find_route(&self, host: &str, path: &str) -> Option<&Rc<RouteRule>> {
         let routes = self.hosts.get(host)?;
         routes.iter().find(|route| path.starts_with(&*route.prefix))
     }
 
-    /// A service by its name.
+    /// The rule of a service; `None` if the configuration does not contain it.
     pub fn service(&self, name: &ServiceName) -> Option<&Rc<ServiceRule>> {
         self.services.get(name)
     }
 
-    /// All services.
+    /// Rules of all services, in no particular order.
     pub fn services(&self) -> impl Iterator<Item = &Rc<ServiceRule>> {
         self.services.values()
     }
 
-    /// Whether callers' keys mean anything, so that they must not be passed on.
+    /// Whether callers authenticate by key, so that keys must not be forwarded to upstreams.
     pub fn needs_keys(&self) -> bool {
         self.needs_keys
     }
 
-    /// Who a caller on a route is; nothing if it may not use the route.
+    /// Identity of a caller on a route; `None` if it may not use the route.
     pub fn identify(&self, route: &RouteRule, key: Option<&str>) -> Option<CallerIdentity> {
         if !self.needs_keys {
             return Some(CallerIdentity::Anonymous);
@@ -246,18 +246,18 @@
     }
 }
 
-/// The configuration in force: the newest that was ever seen.
+/// The configuration in force: the highest version that was ever offered.
 ///
-/// Reads of the store and peers' copies may be seconds old. Taking one in after a newer one would
-/// bring a revoked key or a removed route back; callers would notice answers that change back and
-/// forth. So a lower version never replaces a higher one while the process lives.
+/// Reads of the store and copies from peers may be seconds old. Applying one after a newer one would
+/// restore a revoked key or a removed route, and answers to callers would change back and forth. So a
+/// lower version never replaces a higher one while the process runs.
 #[derive(Debug, Default)]
 pub struct CurrentConfig {
     current: Option<Rc<ServeConfig>>,
 }
 
 impl CurrentConfig {
-    /// Takes a configuration in; whether it is newer than the one in force.
+    /// Puts a configuration in force if its version is higher; returns whether it did.
     pub fn offer(&mut self, config: ServeConfig) -> bool {
         let is_newer = self.current.as_ref().is_none_or(|current| current.version < config.version);
         if is_newer {
@@ -266,7 +266,7 @@
         is_newer
     }
 
-    /// The one in force, if any is known.
+    /// The configuration in force; `None` before the first one.
     pub fn current(&self) -> Option<&Rc<ServeConfig>> {
         self.current.as_ref()
     }
--- a/crates/guava-serve/src/serve_context.rs
+++ b/crates/guava-serve/src/serve_context.rs
@@ -1,6 +1,7 @@
-//! The parts that a request's way through a daemon uses.
+//! The state that the request path and the background tasks of a daemon share.
 //!
-//! All of it runs on one thread; each part is borrowed for a moment and never across a wait.
+//! All users run on one thread. Each field is borrowed briefly and never across an `await`, so that
+//! no borrow conflicts with another.
 
 use crate::members::list_change_gossip::ListChangeGossip;
 use crate::members::lost_messages::LostMessages;
@@ -33,147 +34,148 @@
 use std::net::{IpAddr, SocketAddr};
 use tokio::sync::Notify;
 
-/// Who this daemon is.
+/// Name and place of this daemon.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServeIdentity {
-    /// Its name.
+    /// Unique among all daemons.
     pub name: MemberName,
-    /// Where it stands.
+    /// Data centre of its VM; members and upstreams of the same one are local.
     pub data_centre: DataCentre,
-    /// Address that its connections leave from.
+    /// Local address that outgoing connections are bound to; `None` lets the system choose.
     pub source: Option<IpAddr>,
 }
 
 impl ServeIdentity {
-    /// Names this VM as the holder of a lease, whichever process runs on it.
+    /// Identifies this VM as a lease holder; equal for all processes that run on it.
     ///
-    /// When all daemons are killed at once, the holder's VM is back after a second; a holder named by
-    /// its process would have to wait out its own lease, and engines stay on old weights meanwhile.
-    /// Of two processes of one VM the earlier has ended, so they are one holder.
+    /// When all daemons are killed at once, the holder's VM is back after a second. A holder that was
+    /// identified by its process would have to wait until its own lease expires, and engines would
+    /// keep old weights meanwhile. Of two processes on one VM the earlier has exited, so they may
+    /// count as one holder.
     pub fn lease_holder(&self) -> Incarnation {
-        let half = |salt: u8| {
+        let half_id = |salt: u8| {
             let mut hasher = FxHasher::default();
             (salt, &self.name, self.source).hash(&mut hasher);
             u128::from(hasher.finish())
         };
-        Incarnation(half(0) << 64 | half(1))
+        Incarnation(half_id(0) << 64 | half_id(1))
     }
 }
 
-/// Limits that the deployment sets.
+/// Limits that the deployment sets; constant while the process runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServeBounds {
-    /// Times in which new weights must be in use everywhere.
+    /// Longest times until new weights are in use at all engines.
     pub version_limits: VersionLimits,
-    /// Time in which an upstream that leaves must get no more work, in milliseconds.
+    /// Longest time until a leaving upstream gets no more requests, in milliseconds.
     pub leave_limit_ms: u64,
-    /// Time in which a configuration must be in force, in milliseconds.
+    /// Longest time until a published configuration is in force, in milliseconds.
     pub config_limit_ms: u64,
-    /// Retries to a service.
+    /// Limit of the retries to each service, for all daemons together.
     pub retries: RetryLimit,
-    /// How many times what they are said to bear cold upstreams may get.
+    /// Factor by which a cold upstream's load may exceed its configured cold rate.
     pub cold_times: f64,
-    /// Bytes of requests that may be held at a time.
+    /// Limit of `ServeContext::held_bytes`.
     pub held_bytes: usize,
 }
 
-/// What the upstreams' common clock showed at a moment of this daemon's.
+/// A reading of the upstreams' common clock together with this daemon's own clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UpstreamClock {
-    /// Their clock, in milliseconds.
+    /// The upstreams' clock, in milliseconds.
     pub clock_ms: u64,
-    /// This daemon's.
+    /// This daemon's clock at the same moment.
     pub read: Moment,
 }
 
-/// The parts.
+/// Shared state of the request path.
 pub struct ServeContext {
-    /// Who this daemon is.
+    /// Name and place of this daemon.
     pub identity: ServeIdentity,
-    /// Limits that the deployment sets.
+    /// Deployment limits.
     pub bounds: ServeBounds,
-    /// How upstreams are spoken to.
+    /// Wire format in which upstreams are called.
     pub dialect: Dialect,
-    /// Connections to upstreams.
+    /// Open connections to upstreams, for reuse.
     pub pool: ConnectionPool,
-    /// Counters.
+    /// Counters, gauges and histograms, updated as events occur.
     pub metrics: ServeMetrics,
     /// The configuration in force.
     pub config: RefCell<CurrentConfig>,
-    /// The upstreams.
+    /// Upstreams as last known from the list and from peers.
     pub upstreams: RefCell<UpstreamTable>,
-    /// Data centres whose upstreams are to get nothing.
+    /// Drained data centres, whose upstreams get no requests.
     pub drains: RefCell<DrainTable>,
-    /// Sends to upstreams.
+    /// Sends of this daemon, for the upstreams' rate limits.
     pub sends: RefCell<SendLedger>,
-    /// What upstreams have said of themselves.
+    /// Upstream announcements: limits, back-offs, leaving.
     pub announcements: RefCell<AnnouncementTable>,
-    /// Until when stores of cached parts want nothing from this daemon.
+    /// End of the back-off of each store of prompt parts that asked for one.
     pub store_backoffs: RefCell<FastMap<SocketAddr, Deadline>>,
-    /// Upstreams whose words other daemons are to be told at once.
+    /// Upstreams whose announcements must be sent to peers in an immediate message.
     pub announcements_due: RefCell<Vec<UpstreamId>>,
-    /// Sends that broke off, until it is known whether their upstreams ended.
+    /// Interrupted sends, until it is known whether their upstreams crashed.
     pub broken_sends: RefCell<BrokenSendTable>,
-    /// Upstreams' ends, and requests that are stopped for them.
+    /// Upstream crashes, and requests that are quarantined for them.
     pub ledger: RefCell<CrashLedger>,
-    /// Ends to tell peers.
+    /// Crashes to send to peers.
     pub crash_gossip: RefCell<CrashGossip>,
-    /// Whether requests were stopped or cleared here that peers were not told of at once.
+    /// Whether quarantined or cleared requests are yet to be sent in an immediate message.
     pub verdicts_due: Cell<bool>,
-    /// How much is known of the records of stopped requests.
+    /// Whether the stored quarantine records were read, here or by a peer.
     pub quarantine_sync: Cell<QuarantineSync>,
-    /// Wakes whoever keeps these records.
+    /// Notifies the task that persists quarantine records.
     pub quarantines_due: Notify,
-    /// Their work.
+    /// Work in flight at each upstream, from this daemon and its peers.
     pub work: RefCell<WorkTable>,
-    /// Where cached parts lie.
+    /// Which stores hold which prompt parts.
     pub part_index: RefCell<PartIndex>,
-    /// What the stores' links carry.
+    /// Transfers in flight on the stores' links.
     pub links: RefCell<StoreLinks>,
-    /// Published weights.
+    /// Published weight versions that engines are to load.
     pub targets: RefCell<VersionTargets>,
-    /// Budgets for retries.
+    /// This daemon's share of each service's retry limit.
     pub retries: RefCell<RetryShares>,
-    /// The other daemons.
+    /// The other daemons, both recorded members and peers in contact.
     pub members: RefCell<MemberTable>,
-    /// Prefill throughput.
+    /// Measured prefill throughput over all engines.
     pub prefill: RefCell<PrefillRate>,
-    /// How fast each engine reads.
+    /// Measured prefill throughput of each engine.
     pub speeds: RefCell<EngineSpeeds>,
-    /// Prompts sent since peers were last told.
+    /// Prompts sent to engines since the last summary to peers.
     pub sent_prompts: RefCell<Vec<SentPrompt>>,
-    /// Large prompts sent since peers were last sent a note.
+    /// Large prompts sent to engines since the last immediate message.
     pub just_sent: RefCell<Vec<SentPrompt>>,
-    /// Upstreams about to be ordered to load weights, since peers were last sent a note.
+    /// Engines chosen for an order to load weights since the last immediate message.
     pub just_loading: RefCell<Vec<UpstreamId>>,
-    /// Daemons of this data centre that were just heard, and not greeted.
+    /// New peers of this data centre that have not been sent an initial sync.
     pub new_peers: RefCell<Vec<SocketAddr>>,
-    /// Wakes whoever sends notes and greetings.
+    /// Notifies the task that sends immediate messages and initial syncs.
     pub message_due: Notify,
-    /// The upstreams' clock.
+    /// The last reading of the upstreams' clock, if there was one.
     pub upstream_clock: Cell<Option<UpstreamClock>>,
-    /// What daemons know of the platform's store through each other.
+    /// Reads of the platform's store, by this daemon or reported by peers.
     pub reads: RefCell<SharedReads>,
-    /// Wakes whoever tells the others what this daemon read of the store.
+    /// Notifies the task that sends this daemon's read marks.
     pub reads_due: Notify,
-    /// Changes of the list of upstreams to tell peers.
+    /// Changes of the list of upstreams to send to peers.
     pub list_change_gossip: RefCell<ListChangeGossip>,
-    /// Messages between daemons that were lost here.
+    /// Messages from peers that this daemon lost.
     pub lost_messages: RefCell<LostMessages>,
-    /// When the configuration in force was last seen to be the newest.
+    /// When the current configuration was last confirmed to be the newest.
     pub config_confirmed: Cell<Moment>,
-    /// Whether the operator's records could not be read the last time.
+    /// Whether the last read of the operator's records failed.
     pub is_operator_unavailable: Cell<bool>,
-    /// How much of the engines' memory is planned with.
+    /// Fraction of engine memory that this daemon plans with.
     pub memory_budget: RefCell<MemoryBudget>,
     /// Long prompts that wait for memory at an engine.
     pub memory_queue: RefCell<MemoryQueue>,
-    /// Bytes of requests held at present.
+    /// Bytes of the requests that this daemon holds.
     pub held_bytes: Cell<usize>,
 }
 
 impl ServeContext {
-    /// Parts that know nothing yet.
+    /// A context without configuration, upstreams or peers, as at the start of the process.
     pub fn new(identity: ServeIdentity, bounds: ServeBounds, dialect: Dialect) -> Self {
         Self {
             pool: ConnectionPool::new(identity.source),
@@ -220,26 +222,29 @@
         }
     }
 
-    /// Milliseconds in which an engine reads so many tokens, as far as can be told.
+    /// Estimated prefill time of that many tokens at an engine, in milliseconds.
+    ///
+    /// Uses the engine's own measured throughput if there is one, else that of all engines.
     pub fn read_ms(&self, engine: &UpstreamId, tokens: TokenCount) -> f64 {
         let own = self.speeds.borrow().rate(engine);
         self.prefill.borrow().read_ms(tokens, own)
     }
 
     /// Milliseconds since the list of upstreams was last confirmed, by this daemon's read or a peer's;
-    /// nothing if it was never read.
+    /// `None` if it was never read.
     pub fn list_age_ms(&self, now: Moment) -> Option<u64> {
         self.reads.borrow().list.confirmed().map(|confirmed| now.millis_since(confirmed))
     }
 
-    /// Whether an upstream leaves, by the list or its own word.
+    /// Whether an upstream is leaving, according to the list or to its own announcement.
     pub fn is_leaving(&self, upstream: &UpstreamId) -> bool {
-        let is_listed_so = |entry: &UpstreamEntry| entry.is_leaving;
-        let is_listed_so = self.upstreams.borrow().entry(upstream).is_some_and(is_listed_so);
-        is_listed_so || self.announcements.borrow().is_leaving(upstream)
+        let is_listed_leaving = |entry: &UpstreamEntry| entry.is_leaving;
+        let is_listed_leaving =
+            self.upstreams.borrow().entry(upstream).is_some_and(is_listed_leaving);
+        is_listed_leaving || self.announcements.borrow().is_leaving(upstream)
     }
 
-    /// The upstreams' clock so many milliseconds from now, if it is known.
+    /// What the upstreams' clock will show in `millis` milliseconds; `None` before its first reading.
     pub fn upstream_clock_in(&self, millis: u64, now: Moment) -> Option<u64> {
         let clock = self.upstream_clock.get()?;
         Some(clock.clock_ms + now.millis_since(clock.read) + millis)
