--- a/crates/guava-serve/src/config_intake.rs
+++ b/crates/guava-serve/src/config_intake.rs
@@ -12,10 +12,10 @@
     let version = config.version;
     let services = config.services().map(|service| service.name.clone()).collect();
     if !context.config.borrow_mut().offer(config) {
-        log_event!(info, events::CONFIG_OLD, config = version);
+        log_event!(info, events::CONFIG_IGNORED, config = version);
         return;
     }
     context.upstreams.borrow_mut().note_services(services);
     context.metrics.note_config(version.0);
-    log_event!(info, events::CONFIG_TAKEN, config = version);
+    log_event!(info, events::CONFIG_APPLIED, config = version);
 }
--- a/crates/guava-serve/src/members/peer_exchange.rs
+++ b/crates/guava-serve/src/members/peer_exchange.rs
@@ -468,7 +468,7 @@
     if context.drains.borrow_mut().note(notice, now) {
         log_event!(
             info,
-            events::CENTRE_DRAINED,
+            events::DRAIN_CHANGED,
             data_centre = notice.data_centre,
             drained = notice.is_drained
         );
--- a/crates/guava-serve/src/request/attempt.rs
+++ b/crates/guava-serve/src/request/attempt.rs
@@ -256,7 +256,7 @@
         self.context.pool.keep(connection, None);
         log_event!(
             info,
-            events::SEND_HELD_BACK,
+            events::SEND_BLOCKED,
             request = self.request.id,
             upstream = self.plan.send.upstream,
             reason = reason
--- a/crates/guava-serve/src/request/dispatch.rs
+++ b/crates/guava-serve/src/request/dispatch.rs
@@ -140,7 +140,7 @@
     context.metrics.count_request(if is_over { "timed-out" } else { "lost" });
     log_event!(
         warn,
-        events::LOST,
+        events::REQUEST_FAILED,
         request = request.id,
         route = request.route.name,
         timed_out = is_over,
--- a/crates/guava-serve/src/request/event_relay.rs
+++ b/crates/guava-serve/src/request/event_relay.rs
@@ -202,7 +202,7 @@
         let now = Moment::now();
         log_event!(
             warn,
-            events::BROKEN,
+            events::STREAM_BROKEN,
             request = self.run.request.id,
             digest = self.run.request.digest(),
             upstream = self.passed.upstream,
--- a/crates/guava-serve/src/request/request_run.rs
+++ b/crates/guava-serve/src/request/request_run.rs
@@ -156,7 +156,7 @@
             return false;
         }
         let place = QueuedPrompt::join(&self.context, request);
-        log_event!(info, events::HELD, request = request.id, ahead = place.ahead());
+        log_event!(info, events::PROMPT_QUEUED, request = request.id, ahead = place.ahead());
         loop {
             sleep(Duration::from_millis(HOLD_TICK_MS)).await;
             if until.passed(Moment::now()) {
--- a/crates/guava-serve/src/upstreams/announcement_watch.rs
+++ b/crates/guava-serve/src/upstreams/announcement_watch.rs
@@ -120,7 +120,7 @@
     context.metrics.count_announcement(word);
     log_event!(
         info,
-        events::WORD_LEARNT,
+        events::ANNOUNCEMENT_CHANGED,
         upstream = upstream,
         word = word,
         value = value,
--- a/crates/guava-serve/src/upstreams/quarantine_task.rs
+++ b/crates/guava-serve/src/upstreams/quarantine_task.rs
@@ -56,7 +56,7 @@
                 drop(timeout(pause, duty.context.quarantines_due.notified()).await);
             }
             Err(reason) => {
-                log_event!(debug, events::STOPS_UNREAD, reason = reason);
+                log_event!(debug, events::QUARANTINES_UNAVAILABLE, reason = reason);
                 let is_urgent = is_read_urgent(&duty.context);
                 sleep(retry.after_failure(is_urgent, rand::random())).await;
             }
--- a/crates/guava-serve/src/weights/order_task.rs
+++ b/crates/guava-serve/src/weights/order_task.rs
@@ -96,7 +96,7 @@
             }
             let since = *wanted_since.get_or_insert_with(Moment::now);
             if let Err(error) = self.keep_lease(since).await {
-                log_event!(warn, events::LEASE_UNREAD, reason = error);
+                log_event!(warn, events::LEASE_UNAVAILABLE, reason = error);
             }
             self.note_lease();
             if self.fence().is_some() {
