--- a/crates/guava-serve/tests/serve_config.rs
+++ b/crates/guava-serve/tests/serve_config.rs
@@ -1,4 +1,4 @@
-//! Routes, keys, and which configuration is in force.
+//! Choice of the route, callers' keys, and versions of the configuration.
 
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
@@ -14,7 +14,11 @@
     prefix_ends_at_a_slash = { "a.example", "/llmx", None },
     other_host = { "b.example", "/llm/2f", None },
 )]
-fn route_is_the_longest_prefix_of_its_host(host: &str, path: &str, expected: Option<&str>) {
+fn route_with_the_longest_matching_prefix_of_the_host_is_found(
+    host: &str,
+    path: &str,
+    expected: Option<&str>,
+) {
     let config = config(1);
 
     let found = config.find_route(host, path);
@@ -23,7 +27,7 @@
 }
 
 #[test]
-fn key_names_its_customer_and_no_other_does() {
+fn only_a_known_key_identifies_a_customer() {
     let config = config(1);
     let route = config.find_route("a.example", "/app/x").unwrap();
 
@@ -37,7 +41,7 @@
 }
 
 #[test]
-fn public_route_needs_no_key_but_honours_one() {
+fn public_route_needs_no_key_but_identifies_by_a_known_one() {
     let mut parts = config_parts(1);
     parts.routes.iter_mut().for_each(|route| route.is_public = true);
     let config = ServeConfig::new(parts);
@@ -49,7 +53,7 @@
 }
 
 #[test]
-fn without_customers_nobody_needs_a_key() {
+fn configuration_without_customers_needs_no_keys() {
     let config = ServeConfig::new(ConfigParts { customers: None, ..config_parts(1) });
     let route = config.find_route("a.example", "/app/x").unwrap();
 
@@ -59,14 +63,14 @@
 
 #[test]
 fn older_configuration_never_replaces_a_newer_one() {
-    // Symptom: a revoked key works again for some seconds.
-    // Sequence: version 7 is in force; a read that is seconds behind brings version 6.
-    // Cause: the last one read was taken for the newest one.
-    let mut keeper = CurrentConfig::default();
-    keeper.offer(config(7));
+    // Symptom: a revoked key is accepted again for some seconds.
+    // Sequence: version 7 is in force; a read that is seconds old returns version 6.
+    // Cause: the version that was read last was taken for the newest one.
+    let mut current_config = CurrentConfig::default();
+    current_config.offer(config(7));
 
-    let is_taken = keeper.offer(config(6));
+    let is_applied = current_config.offer(config(6));
 
-    assert!(!is_taken);
-    assert_eq!(keeper.current().unwrap().version.0, 7);
+    assert!(!is_applied);
+    assert_eq!(current_config.current().unwrap().version.0, 7);
 }
--- a/crates/guava-serve/tests/small_rules.rs
+++ b/crates/guava-serve/tests/small_rules.rs
@@ -1,4 +1,4 @@
-//! Events cut whole, budgets shared, patience, members, messages.
+//! Event framing, retry limits, timeouts, members, ranks, peer messages and work tables.
 
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
@@ -20,44 +20,44 @@
 use support::{address, customer, engine, id, model, request, route, upstream};
 use yare::parameterized;
 
-fn framed(pieces: &[&str]) -> (String, Option<String>, bool) {
+fn frame_chunks(chunks: &[&str]) -> (String, Option<String>, bool) {
     let mut framer = EventFramer::default();
-    let mut passed = String::new();
+    let mut forwarded = String::new();
     let mut last = None;
-    for piece in pieces {
-        assert!(framer.push(piece.as_bytes()));
+    for chunk in chunks {
+        assert!(framer.push(chunk.as_bytes()));
         while let Some(batch) = framer.take_whole() {
-            passed.push_str(std::str::from_utf8(&batch.bytes).unwrap());
+            forwarded.push_str(std::str::from_utf8(&batch.bytes).unwrap());
             last = batch.last_id.map(String::from).or(last);
         }
     }
-    (passed, last, framer.is_clean())
+    (forwarded, last, framer.is_clean())
 }
 
 #[parameterized(
-    whole = { &["id: 1\ndata: a\n\n"], "id: 1\ndata: a\n\n", Some("1"), true },
-    half_is_held_back = { &["id: 1\ndata: a\n\nid: 2\nda"], "id: 1\ndata: a\n\n", Some("1"), false },
-    blank_line_in_two_reads = { &["id:7\ndata: a\n", "\n"], "id:7\ndata: a\n\n", Some("7"), true },
+    complete = { &["id: 1\ndata: a\n\n"], "id: 1\ndata: a\n\n", Some("1"), true },
+    incomplete_is_held_back = { &["id: 1\ndata: a\n\nid: 2\nda"], "id: 1\ndata: a\n\n", Some("1"), false },
+    blank_line_split_across_reads = { &["id:7\ndata: a\n", "\n"], "id:7\ndata: a\n\n", Some("7"), true },
     carriage_returns = { &["id: 3\r\ndata: a\r\n", "\r\n"], "id: 3\r\ndata: a\r\n\r\n", Some("3"), true },
     two_at_once = { &["id: 1\n\nid: 2\n\n"], "id: 1\n\nid: 2\n\n", Some("2"), true },
     without_id = { &["data: a\n\n"], "data: a\n\n", None, true },
 )]
-fn only_whole_events_are_passed_on(
-    pieces: &[&str],
-    passed: &str,
+fn only_complete_events_are_forwarded(
+    chunks: &[&str],
+    forwarded: &str,
     last: Option<&str>,
     is_clean: bool,
 ) {
-    let found = framed(pieces);
+    let found = frame_chunks(chunks);
 
-    assert_eq!(found, (passed.to_owned(), last.map(str::to_owned), is_clean));
+    assert_eq!(found, (forwarded.to_owned(), last.map(str::to_owned), is_clean));
 }
 
 #[test]
-fn all_daemons_together_keep_the_retry_limit() {
-    // Symptom: a failing service gets eight times the retries that it is allowed.
-    // Sequence: eight daemons see it fail at the same time, and each spends the whole budget.
-    // Cause: the limit holds for all daemons together.
+fn retry_limit_holds_for_all_daemons_together() {
+    // Symptom: a failing service gets eight times the retries that its limit allows.
+    // Sequence: eight daemons see it fail at the same time, and each spends the complete budget.
+    // Cause: each daemon applied the limit alone, but it is one limit for all daemons.
     let limit = RetryLimit { ratio: 0.2, slack: 56.0 };
     let service = "app".parse().unwrap();
     let mut spent = 0;
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn share_shrinks_when_more_daemons_are_heard() {
+fn retry_share_shrinks_when_more_daemons_are_reachable() {
     let limit = RetryLimit { ratio: 0.0, slack: 56.0 };
     let service = "app".parse().unwrap();
     let mut shares = RetryShares::new(limit, 1);
@@ -90,12 +90,12 @@
 
 #[parameterized(
     non_idempotent = { RepeatRule::NonIdempotent, 0, None },
-    stream_that_runs_once = { RepeatRule::Stream, 0, None },
+    non_resumable_stream = { RepeatRule::Stream, 0, None },
     idempotent = { RepeatRule::Idempotent, 0, Some(240) },
     idempotent_last_attempt = { RepeatRule::Idempotent, 1, None },
     resumable = { RepeatRule::ResumableStream, 0, Some(200) },
 )]
-fn only_what_may_be_repeated_is_given_up_for_another(
+fn only_repeatable_requests_time_out_for_another_attempt(
     repeat: RepeatRule,
     runs: u32,
     expected: Option<u64>,
@@ -104,33 +104,36 @@
 }
 
 #[test]
-fn slow_start_that_was_expected_is_no_reason_to_go_elsewhere() {
+fn expected_slow_start_extends_the_answer_timeout() {
     let route = route("/x/", "llm", RepeatRule::ResumableStream);
 
     assert_eq!(first_answer_timeout_ms(&route, 0, 400.0), Some(1_000));
 }
 
 #[test]
-fn callers_refused_together_return_apart() {
+fn return_times_of_callers_refused_together_are_spread() {
     let times: Vec<u64> =
         (0..1_000).map(|draw| return_after_ms(RefusalReason::UpstreamsFull, draw)).collect();
 
-    let least = times.iter().min().unwrap();
-    let most = times.iter().max().unwrap();
-    assert!(*least >= 100 && *most >= least + 100 && *most <= 400, "{least} to {most}");
+    let earliest = times.iter().min().unwrap();
+    let latest = times.iter().max().unwrap();
+    assert!(
+        *earliest >= 100 && *latest >= earliest + 100 && *latest <= 400,
+        "{earliest} to {latest}"
+    );
 }
 
 #[test]
-fn not_run_is_said_only_if_no_send_ended_in_silence() {
+fn request_is_reported_as_not_run_only_if_no_send_went_unanswered() {
     let refused = SendRecord { refusals: 1, ..SendRecord::default() };
-    let silent = SendRecord { refusals: 1, runs: 1, ..SendRecord::default() };
+    let unanswered = SendRecord { refusals: 1, runs: 1, ..SendRecord::default() };
 
     assert_eq!(refused.refusal(), Some(RefusalReason::UpstreamsFull));
-    assert_eq!(silent.refusal(), None);
+    assert_eq!(unanswered.refusal(), None);
 }
 
 #[test]
-fn services_get_requests_by_their_weights() {
+fn requests_are_divided_among_services_by_weight() {
     let mut split = route("/x/", "a", RepeatRule::Idempotent);
     split.services = vec![("a".parse().unwrap(), 90), ("b".parse().unwrap(), 10)];
 
@@ -140,7 +143,7 @@
 }
 
 #[test]
-fn instance_that_stumbles_is_left_and_tried_again() {
+fn instance_with_failed_answers_is_avoided_and_later_retried() {
     let mut upstreams = UpstreamTable::default();
     upstreams.note_entry(upstream("a", "app"));
     upstreams.note_entry(upstream("b", "app"));
@@ -168,7 +171,7 @@
     assert_eq!(chosen_at(Moment(40_000), &work), [id("a"), id("a")]);
 }
 
-fn note(name: &str, is_ready: bool) -> MemberDescriptor {
+fn descriptor(name: &str, is_ready: bool) -> MemberDescriptor {
     MemberDescriptor {
         name: name.parse().unwrap(),
         data_centre: "east".parse().unwrap(),
@@ -179,34 +182,34 @@
 }
 
 #[test]
-fn only_ready_daemons_heard_lately_are_handed_out() {
+fn only_ready_and_reachable_daemons_are_given_to_callers() {
     let mut members = MemberTable::new("east".parse().unwrap());
-    members.note_from_peer(note("ready", true), Moment(10_000));
-    members.note_from_peer(note("leaving", false), Moment(10_000));
-    members.note_record(note("recorded", true), Moment(10_000));
+    members.note_from_peer(descriptor("ready", true), Moment(10_000));
+    members.note_from_peer(descriptor("leaving", false), Moment(10_000));
+    members.note_record(descriptor("recorded", true), Moment(10_000));
 
     assert_eq!(members.caller_addresses(Moment(10_500)).len(), 1);
     assert_eq!(members.caller_addresses(Moment(12_000)).len(), 0);
 }
 
-/// A daemon of another data centre, with a peer port that tells it apart.
-fn far_note(name: &str, centre: &str, port: u16) -> MemberDescriptor {
+/// Descriptor of a daemon in another data centre, identified by its peer port.
+fn remote_descriptor(name: &str, centre: &str, port: u16) -> MemberDescriptor {
     let data_centre = centre.parse().unwrap();
-    MemberDescriptor { data_centre, peer_address: address(port), ..note(name, true) }
+    MemberDescriptor { data_centre, peer_address: address(port), ..descriptor(name, true) }
 }
 
 #[test]
-fn one_living_daemon_of_each_other_data_centre_relays_in_turn() {
-    // Symptom: messages to daemons of another data centre are lost for as long as one is dead.
-    // Sequence: the daemon that passes them on dies, or was never heard.
-    // Cause: always the same relay, or one that is only known by its record.
+fn relays_rotate_among_the_reachable_daemons_of_each_remote_data_centre() {
+    // Symptom: messages to daemons of a remote data centre are lost while one daemon there is down.
+    // Sequence: the daemon that relays them has crashed, or was never in contact.
+    // Cause: the relay was always the same, or one that is only known by its record.
     let mut members = MemberTable::new("east".parse().unwrap());
     let now = Moment(10_000);
-    members.note_from_peer(note("near", true), now);
-    members.note_from_peer(far_note("w1", "west", 11), now);
-    members.note_from_peer(far_note("w2", "west", 12), now);
-    members.note_record(far_note("w3", "west", 13), now);
-    members.note_record(far_note("s1", "south", 21), now);
+    members.note_from_peer(descriptor("near", true), now);
+    members.note_from_peer(remote_descriptor("w1", "west", 11), now);
+    members.note_from_peer(remote_descriptor("w2", "west", 12), now);
+    members.note_record(remote_descriptor("w3", "west", 13), now);
+    members.note_record(remote_descriptor("s1", "south", 21), now);
 
     let me = "near".parse().unwrap();
     let mut rounds = [0, 1].map(|number| members.relays(&me, number, now));
@@ -219,57 +222,60 @@
 }
 
 #[test]
-fn daemons_that_count_in_step_take_different_relays() {
-    // Symptom: one daemon in a few moves fifteen times as many bytes as the others, and the more
-    // daemons there are the more.
-    // Sequence: all daemons start together and tell other data centres every fourth time that they
-    // tell those near by; all take the relay of that number, at the same moment.
-    // Cause: the turn went by the number alone.
-    const FAR: usize = 200;
+fn daemons_with_the_same_round_number_choose_different_relays() {
+    // Symptom: one in every few daemons transfers fifteen times as many bytes as the others, and the
+    // factor grows with the number of daemons.
+    // Sequence: all daemons start together and send to remote data centres in every fourth round of
+    // their local messages; all choose the relay of the same round number at the same moment.
+    // Cause: the choice of the relay depended on the round number alone.
+    const SENDERS: usize = 200;
     const RELAYS: usize = 100;
     let mut members = MemberTable::new("east".parse().unwrap());
     let now = Moment(10_000);
-    for place in 0..RELAYS {
-        let port = u16::try_from(place).unwrap() + 1_000;
-        members.note_from_peer(far_note(&format!("w{place}"), "west", port), now);
+    for index in 0..RELAYS {
+        let port = u16::try_from(index).unwrap() + 1_000;
+        members.note_from_peer(remote_descriptor(&format!("w{index}"), "west", port), now);
     }
-    let names: Vec<MemberName> = (0..FAR).map(|n| format!("e{n}").parse().unwrap()).collect();
+    let names: Vec<MemberName> = (0..SENDERS).map(|n| format!("e{n}").parse().unwrap()).collect();
 
     let mut busiest = 0;
     for number in (0..40).step_by(4) {
-        let mut passed: FastMap<_, usize> = FastMap::default();
+        let mut relayed: FastMap<_, usize> = FastMap::default();
         for name in &names {
             let relays = members.relays(name, number, now);
-            relays.into_iter().for_each(|(_, relay)| *passed.entry(relay).or_default() += 1);
+            relays.into_iter().for_each(|(_, relay)| *relayed.entry(relay).or_default() += 1);
         }
-        busiest = busiest.max(passed.values().copied().max().unwrap_or(0));
+        busiest = busiest.max(relayed.values().copied().max().unwrap_or(0));
     }
 
-    assert!(busiest <= 5 * FAR / RELAYS, "{busiest} of {FAR} through one relay");
+    assert!(
+        busiest <= 5 * SENDERS / RELAYS,
+        "one relay got messages of {busiest} of {SENDERS} daemons"
+    );
 }
 
 #[test]
-fn daemons_with_the_same_view_agree_on_turns() {
+fn daemons_that_know_the_same_members_agree_on_ranks() {
     let names = ["d1", "d2", "d3", "d4"];
-    let turn = |me: &str| {
+    let rank_of = |me: &str| {
         let mut members = MemberTable::new("east".parse().unwrap());
         for other in names.iter().filter(|other| **other != me) {
-            members.note_from_peer(note(other, true), Moment(10_000));
+            members.note_from_peer(descriptor(other, true), Moment(10_000));
         }
         members.rank(&me.parse().unwrap(), "orders", Moment(10_000))
     };
 
-    let mut turns: Vec<usize> = names.iter().map(|name| turn(name)).collect();
-    turns.sort_unstable();
+    let mut ranks: Vec<usize> = names.iter().map(|name| rank_of(name)).collect();
+    ranks.sort_unstable();
 
-    assert_eq!(turns, [0, 1, 2, 3]);
+    assert_eq!(ranks, [0, 1, 2, 3]);
 }
 
 #[test]
-fn peer_message_survives_its_datagram() {
+fn peer_message_is_unchanged_by_encoding_and_decoding() {
     let share = WorkShare { waiting: TokenCount(5), memory: TokenCount(6), running: 2 };
     let message = PeerMessage {
-        member: note("d1", true),
+        member: descriptor("d1", true),
         shares: FastMap::from_iter([(id("e"), share)]),
         sent: vec![SentPrompt {
             engine: id("e"),
@@ -339,15 +345,15 @@
 
 #[parameterized(
     empty = { b"" },
-    noise = { b"\xff\xfe\xfd\x00\x01garbage" },
+    random_bytes = { b"\xff\xfe\xfd\x00\x01garbage" },
     truncated = { b"\x0a\x02d" },
 )]
-fn bytes_that_are_no_message_are_passed_over(bytes: &[u8]) {
+fn bytes_that_are_not_a_message_are_rejected(bytes: &[u8]) {
     assert_eq!(PeerMessage::decode(bytes, Moment(1_000)), None);
 }
 
 #[test]
-fn work_of_a_silent_peer_is_forgotten() {
+fn work_of_a_silent_peer_is_discarded() {
     let mut work = WorkTable::default();
     let share = WorkShare { waiting: TokenCount(5), memory: TokenCount(6), running: 2 };
     let shares = FastMap::from_iter([(id("e"), share)]);
@@ -361,10 +367,10 @@
 }
 
 #[test]
-fn far_peer_that_misses_one_message_still_has_its_work() {
-    // Symptom: prompts are sent to engines that daemons of another data centre have just filled.
-    // Sequence: those speak once a second; one of their datagrams is lost.
-    // Cause: after 1.5 s of silence all their work was taken to be over.
+fn work_of_a_remote_peer_is_kept_after_one_lost_message() {
+    // Symptom: prompts are sent to engines that daemons of a remote data centre have just filled.
+    // Sequence: those daemons send a message once a second; one of the datagrams is lost.
+    // Cause: after 1.5 s without a message all their work was taken to be finished.
     let mut work = WorkTable::default();
     let members = MemberTable::new("east".parse().unwrap());
     let share = WorkShare { waiting: TokenCount(5), memory: TokenCount(6), running: 2 };
@@ -373,62 +379,62 @@
     work.note_peer(&"d2".parse().unwrap(), shares, silent_at, Moment(0));
 
     work.sweep(Moment(2_200), |_| true);
-    let missed_one = work.total(&id("e")).running;
+    let after_one_loss = work.total(&id("e")).running;
     work.sweep(Moment(3_200), |_| true);
 
-    assert_eq!((missed_one, work.total(&id("e")).running), (2, 0));
+    assert_eq!((after_one_loss, work.total(&id("e")).running), (2, 0));
 }
 
 #[test]
-fn prefill_rate_rises_fast_and_falls_slowly() {
+fn prefill_rate_estimate_rises_fast_and_falls_slowly() {
     let mut rate = PrefillRate::default();
     for _ in 0..10 {
         rate.note(17_000, 225);
     }
-    let learnt = rate.rate().0;
+    let estimate = rate.rate().0;
     rate.note(17_000, 3_000);
 
-    assert!((75_000..=85_000).contains(&learnt), "{learnt}");
-    assert!(rate.rate().0 > learnt * 9 / 10);
+    assert!((75_000..=85_000).contains(&estimate), "{estimate}");
+    assert!(rate.rate().0 > estimate * 9 / 10);
 }
 
 #[test]
-fn fixed_time_to_a_first_token_is_learnt_from_short_prompts() {
+fn fixed_time_to_the_first_token_is_estimated_from_short_prompts() {
     let mut rate = PrefillRate::default();
     for _ in 0..30 {
         rate.note(400, 60);
     }
-    let waited = rate.fixed_ms();
+    let first_estimate = rate.fixed_ms();
     for _ in 0..10 {
         rate.note(400, 45);
     }
 
-    assert!(waited > 35.0, "{waited}");
+    assert!(first_estimate > 35.0, "{first_estimate}");
     assert!((34.0..36.0).contains(&rate.fixed_ms()), "{}", rate.fixed_ms());
 }
 
 #[test]
-fn engine_that_is_late_behind_others_is_not_taken_for_slow() {
-    // Symptom: long prompts go to engines in other data centres though those nearby are idle.
-    // Sequence: short prompts, expected in 30 ms, take 150 where a long one is being read.
-    // Cause: that made engines nearby look several times too slow, the others like new.
+fn engine_delayed_by_concurrent_requests_is_not_rated_as_slow() {
+    // Symptom: long prompts are sent to engines in remote data centres while local ones are idle.
+    // Sequence: short prompts, expected in 30 ms, take 150 ms at engines that prefill a long one.
+    // Cause: local engines were therefore rated several times too slow, remote ones as unloaded.
     let mut work = WorkTable::default();
     let short = ExpectedLoad { answer_ms: 30.0, service_ms: 8.0, ..ExpectedLoad::default() };
     let ticket = work.begin(&id("a"), &short, Moment(1_000));
     work.started(&ticket, Moment(1_150));
-    let behind_others = work.load(&id("a")).slowness(Moment(1_150));
+    let slowness_of_delayed = work.load(&id("a")).slowness(Moment(1_150));
 
     let long = ExpectedLoad { answer_ms: 600.0, service_ms: 560.0, ..ExpectedLoad::default() };
     let ticket = work.begin(&id("b"), &long, Moment(1_000));
     work.started(&ticket, Moment(3_400));
-    let four_times_slower = work.load(&id("b")).slowness(Moment(3_400));
+    let slowness_of_slow = work.load(&id("b")).slowness(Moment(3_400));
 
-    assert_eq!(behind_others, 1.0);
-    assert!(four_times_slower > 1.4, "{four_times_slower}");
+    assert_eq!(slowness_of_delayed, 1.0);
+    assert!(slowness_of_slow > 1.4, "{slowness_of_slow}");
 }
 
 #[test]
-fn urgent_requests_go_first_among_a_customers_own() {
+fn route_priority_orders_requests_within_a_customers_priority() {
     let rank = |customer_rank: Option<u8>, route_rank: u8| {
         let mut rule = customer("acme", false);
         rule.priority = customer_rank;
@@ -446,39 +452,41 @@
     assert!(rank(None, 0) < rank(Some(1), 0));
 }
 
-/// A table in a data centre of five that hold so many daemons in all.
+/// The table of a daemon in one of five data centres, with that many daemons in contact.
 fn fleet(daemons: u16) -> MemberTable {
     let centres = ["east", "west", "south", "north", "middle"];
     let mut members = MemberTable::new("east".parse().unwrap());
-    for place in 0..daemons {
-        let centre = centres[usize::from(place) % centres.len()];
-        members
-            .note_from_peer(far_note(&format!("d{place}"), centre, 1_000 + place), Moment(10_000));
+    for index in 0..daemons {
+        let centre = centres[usize::from(index) % centres.len()];
+        members.note_from_peer(
+            remote_descriptor(&format!("d{index}"), centre, 1_000 + index),
+            Moment(10_000),
+        );
     }
     members
 }
 
 #[parameterized(thirty = { 30 }, hundred = { 100 }, three_hundred = { 300 }, thousand = { 1_000 })]
-fn messages_that_a_daemon_gets_are_bounded_whatever_the_fleets_size(daemons: u16) {
+fn received_messages_are_bounded_for_any_number_of_daemons(daemons: u16) {
     // Symptom: with 300 daemons a VM with 0.12 of a core spends all of it on messages.
-    // Sequence: each daemon speaks four times a second to those near it, and once to all others.
-    // Cause: the pauses were the same however many speak.
+    // Sequence: each daemon sends four messages a second to local peers, and one to remote peers.
+    // Cause: the intervals did not depend on the number of daemons.
     let members = fleet(daemons);
-    let near = f64::from(daemons) / 5.0;
-    let far = f64::from(daemons) - near;
+    let local = f64::from(daemons) / 5.0;
+    let remote = f64::from(daemons) - local;
 
-    let near_per_s = near * 1_000.0 / members.local_interval_ms() as f64;
-    let far_per_s = far * 1_000.0 / members.remote_interval_ms() as f64;
+    let local_per_s = local * 1_000.0 / members.local_interval_ms() as f64;
+    let remote_per_s = remote * 1_000.0 / members.remote_interval_ms() as f64;
 
-    assert!(near_per_s <= 201.0 && far_per_s <= 201.0, "{near_per_s} and {far_per_s}");
+    assert!(local_per_s <= 201.0 && remote_per_s <= 201.0, "{local_per_s} and {remote_per_s}");
 }
 
 #[test]
-fn daemons_that_speak_more_rarely_are_not_taken_for_gone() {
+fn longer_message_intervals_do_not_make_daemons_silent() {
     let members = fleet(300);
 
-    // A word on a store of cached parts counts for 1.4 s; it is up to half a second old when it is
-    // told, and one lost datagram must not make it expire.
+    // An update of a store of prompt parts expires after 1.4 s. It is up to half a second old when
+    // it is sent, and one lost datagram must not make it expire.
     assert!(500 + 2 * members.local_interval_ms() < 1_400);
     assert!(members.silent_ms(&"east".parse().unwrap()) >= 3 * members.local_interval_ms());
     assert!(members.silent_ms(&"west".parse().unwrap()) >= 2 * members.remote_interval_ms());
@@ -487,62 +495,64 @@
 }
 
 #[test]
-fn daemon_that_starts_in_a_crowd_takes_no_turn_of_others() {
-    // Symptom: after 295 daemons started together each read the store for all, and told all others.
-    // Sequence: a daemon reads the others' records, and has not heard any of them yet.
-    // Cause: only those that were heard came before it in turn.
+fn new_daemon_among_many_does_not_take_the_reader_rank() {
+    // Symptom: after 295 daemons started together, each read the store for all and sent what it
+    // read to all others.
+    // Sequence: a daemon reads the others' records, and has had no contact with any of them yet.
+    // Cause: only daemons in contact had a rank before its own.
     let me = "d0".parse().unwrap();
     let mut members = MemberTable::new("east".parse().unwrap());
     let started = Moment(10_000);
     assert!(
         members.reader_rank(&me, started) > STANDBYS,
-        "it knows of nobody, and may not be alone"
+        "a daemon that knows no others may not be the only one"
     );
-    for place in 1..100 {
-        members.note_record(far_note(&format!("d{place}"), "west", 1_000 + place), started);
+    for index in 1..100 {
+        members
+            .note_record(remote_descriptor(&format!("d{index}"), "west", 1_000 + index), started);
     }
 
-    let unlisted = members.reader_rank(&me, started);
+    let unlisted_rank = members.reader_rank(&me, started);
     members.note_listed();
-    let turn = members.reader_rank(&me, started);
+    let listed_rank = members.reader_rank(&me, started);
     let later = members.reader_rank(&me, Moment(started.0 + 10_000));
 
-    assert!(turn > 0 && unlisted > STANDBYS, "{turn} and {unlisted}");
-    assert_eq!(later, 0, "none of them was ever heard");
+    assert!(listed_rank > 0 && unlisted_rank > STANDBYS, "{listed_rank} and {unlisted_rank}");
+    assert_eq!(later, 0, "none of the recorded daemons was ever in contact");
 }
 
 #[test]
-fn daemon_that_leaves_hands_its_duties_over_before_it_is_silent() {
-    // Symptom: while all VMs are restarted in turn, daemons read the store for themselves and prompts
-    // are read again.
-    // Sequence: the daemon that reads for all is told to stop; it is silent some seconds later, and
-    // not followed by another before that.
-    // Cause: it counted in turns for as long as it was heard.
+fn leaving_daemon_is_replaced_as_reader_before_it_is_silent() {
+    // Symptom: while all VMs are restarted one after the other, daemons read the store for themselves
+    // and prompts are prefilled again.
+    // Sequence: the daemon that reads for all is told to stop. It becomes silent some seconds later,
+    // and no other daemon replaces it before that.
+    // Cause: it kept its rank for as long as it was reachable.
     let names = ["d1", "d2"];
     let now = Moment(10_000);
-    let table = |me: &str, is_other_ready: bool| {
+    let rank_in_pair = |me: &str, is_other_ready: bool| {
         let mut members = MemberTable::new("east".parse().unwrap());
         let other = names.iter().find(|name| **name != me).unwrap();
-        members.note_from_peer(note(other, true), now);
-        members.note_from_peer(note(other, is_other_ready), now);
+        members.note_from_peer(descriptor(other, true), now);
+        members.note_from_peer(descriptor(other, is_other_ready), now);
         members.note_listed();
         members.reader_rank(&me.parse().unwrap(), now)
     };
-    let first = *names.iter().find(|name| table(name, true) == 0).unwrap();
+    let first = *names.iter().find(|name| rank_in_pair(name, true) == 0).unwrap();
     let second = *names.iter().find(|name| **name != first).unwrap();
 
-    let turn_of_second = table(second, false);
+    let rank_of_second = rank_in_pair(second, false);
 
-    assert_eq!(turn_of_second, 0);
-    assert_eq!(table(first, true), 0, "who leaves goes on as before");
+    assert_eq!(rank_of_second, 0);
+    assert_eq!(rank_in_pair(first, true), 0, "the leaving daemon keeps its own rank");
 }
 
 #[test]
-fn daemon_that_has_just_started_is_not_taken_for_one_that_leaves() {
+fn daemons_that_are_not_ready_yet_are_not_taken_for_leaving() {
     let mut members = MemberTable::new("east".parse().unwrap());
     let now = Moment(10_000);
-    for place in 0..50 {
-        members.note_from_peer(note(&format!("d{place}"), false), now);
+    for index in 0..50 {
+        members.note_from_peer(descriptor(&format!("d{index}"), false), now);
     }
     members.note_listed();
 
