--- a/crates/guava-serve/src/serve_config.rs
+++ b/crates/guava-serve/src/serve_config.rs
@@ -116,7 +116,8 @@
 pub struct CustomerRule {
     /// Identifies the customer.
     pub name: CustomerId,
-    /// Priority that replaces the route's.
+    /// Priority that replaces the route's; among equal ones, routes of priority 0 are still served
+    /// first. `None` keeps the route's.
     pub priority: Option<u8>,
     /// Whether it shares no prompt parts with other customers.
     pub is_isolated: bool,
@@ -211,7 +212,7 @@
         }
     }
 
-    /// The host's route with the longest prefix of the path; `None` if no prefix matches.
+    /// The host's route with the longest prefix of the path; `None` if there is none.
     pub fn find_route(&self, host: &str, path: &str) -> Option<&Rc<RouteRule>> {
         let routes = self.hosts.get(host)?;
         routes.iter().find(|route| path.starts_with(&*route.prefix))
