--- a/crates/guava-serve/src/lib.rs
+++ b/crates/guava-serve/src/lib.rs
@@ -3,8 +3,8 @@
 //! What differs between deployments is passed in as plain data and a [`Dialect`]. Decisions are made
 //! by functions of plain data, which can be tested without a network.
 
-mod arrival;
-mod config_intake;
+mod config_update;
+mod deadline_wait;
 pub mod events;
 mod members;
 mod metrics;
@@ -16,7 +16,7 @@
 mod upstreams;
 mod weights;
 
-pub use config_intake::apply_config;
+pub use config_update::apply_config;
 pub use members::list_change_gossip::ListChangeGossip;
 pub use members::lost_messages::{LostMessages, MessageLoss};
 pub use members::member_table::{MemberDescriptor, MemberTable};
--- a/crates/guava-serve/src/request/attempt.rs
+++ b/crates/guava-serve/src/request/attempt.rs
@@ -1,6 +1,6 @@
 //! One send of a request to one upstream, up to its answer or its stream's first event.
 
-use crate::arrival::until;
+use crate::deadline_wait::until;
 use crate::events;
 use crate::parts::store_links::FetchTicket;
 use crate::request::accepted_request::AcceptedRequest;
--- a/crates/guava-serve/src/request/event_relay.rs
+++ b/crates/guava-serve/src/request/event_relay.rs
@@ -1,6 +1,6 @@
 //! Passes a stream's events on, and takes the stream up elsewhere when its upstream fails.
 
-use crate::arrival::until;
+use crate::deadline_wait::until;
 use crate::events;
 use crate::request::answer_body::{AnswerBody, BrokenStream};
 use crate::request::answer_timeout::EVENT_GAP_MS;
--- a/crates/guava-serve/src/upstreams/http_call.rs
+++ b/crates/guava-serve/src/upstreams/http_call.rs
@@ -1,6 +1,6 @@
 //! A call with a short answer that is read whole: to stores, and to upstreams beside requests.
 
-use crate::arrival::until;
+use crate::deadline_wait::until;
 use crate::upstreams::connection_pool::{ConnectionPool, ExchangeError};
 use bytes::Bytes;
 use guava_types::Deadline;
