--- a/crates/guava-serve/src/metrics.rs
+++ b/crates/guava-serve/src/metrics.rs
@@ -43,7 +43,7 @@
 /// Gauges by upstream.
 type UpstreamLevels = Family<UpstreamLabel, Gauge<f64, AtomicU64>>;
 
-/// The metrics of one daemon; names and labels are read by the operators' tools.
+/// The metrics of one daemon, with the registry that encodes them.
 #[derive(Debug)]
 pub struct ServeMetrics {
     registry: Registry,
@@ -135,7 +135,7 @@
         self.sends.get_or_create(&KindLabel { kind }).inc();
     }
 
-    /// Counts a call to the platform's store; `kind` tells which.
+    /// Counts a call to the platform's store; `kind` names the call.
     pub fn count_store_call(&self, kind: &'static str) {
         self.store_calls.get_or_create(&KindLabel { kind }).inc();
     }
