--- a/crates/guava-serve/src/request/attempt.rs
+++ b/crates/guava-serve/src/request/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt: sends a request to one upstream and waits for the complete answer or, for a stream,
 //! for the first event.
 
-use crate::arrival::until;
+use crate::deadline_wait::until;
 use crate::events;
 use crate::parts::store_links::FetchTicket;
 use crate::request::accepted_request::AcceptedRequest;
@@ -262,7 +262,7 @@
         self.context.pool.keep(connection, None);
         log_event!(
             info,
-            events::SEND_HELD_BACK,
+            events::SEND_BLOCKED,
             request = self.request.id,
             upstream = self.plan.send.upstream,
             reason = reason
--- a/crates/guava-serve/src/request/dispatch.rs
+++ b/crates/guava-serve/src/request/dispatch.rs
@@ -142,7 +142,7 @@
     context.metrics.count_request(if is_timed_out { "timed-out" } else { "lost" });
     log_event!(
         warn,
-        events::LOST,
+        events::REQUEST_FAILED,
         request = request.id,
         route = request.route.name,
         timed_out = is_timed_out,
--- a/crates/guava-serve/src/request/event_relay.rs
+++ b/crates/guava-serve/src/request/event_relay.rs
@@ -1,6 +1,6 @@
 //! Relays a stream's events to the caller, and resumes it at another upstream if its own fails.
 
-use crate::arrival::until;
+use crate::deadline_wait::until;
 use crate::events;
 use crate::request::answer_body::{AnswerBody, InterruptedStream};
 use crate::request::answer_timeout::EVENT_TIMEOUT_MS;
@@ -211,7 +211,7 @@
         let now = Moment::now();
         log_event!(
             warn,
-            events::BROKEN,
+            events::STREAM_BROKEN,
             request = self.run.request.id,
             digest = self.run.request.digest(),
             upstream = self.progress.upstream,
--- a/crates/guava-serve/src/request/request_run.rs
+++ b/crates/guava-serve/src/request/request_run.rs
@@ -158,7 +158,7 @@
             return false;
         }
         let queued = QueuedPrompt::join(&self.context, request);
-        log_event!(info, events::HELD, request = request.id, ahead = queued.ahead());
+        log_event!(info, events::PROMPT_QUEUED, request = request.id, ahead = queued.ahead());
         loop {
             sleep(Duration::from_millis(QUEUE_POLL_INTERVAL_MS)).await;
             if until.passed(Moment::now()) {
--- a/crates/guava-serve/src/upstreams/announcement_watch.rs
+++ b/crates/guava-serve/src/upstreams/announcement_watch.rs
@@ -123,7 +123,7 @@
     context.metrics.count_announcement(kind);
     log_event!(
         info,
-        events::WORD_LEARNT,
+        events::ANNOUNCEMENT_CHANGED,
         upstream = upstream,
         word = kind,
         value = value,
--- a/crates/guava-serve/src/upstreams/http_call.rs
+++ b/crates/guava-serve/src/upstreams/http_call.rs
@@ -1,7 +1,7 @@
 //! Calls whose short answer is read completely: to stores, and to upstreams for other purposes than
 //! customers' requests.
 
-use crate::arrival::until;
+use crate::deadline_wait::until;
 use crate::upstreams::connection_pool::{ConnectionPool, ExchangeError};
 use bytes::Bytes;
 use guava_types::Deadline;
