--- a/crates/guava-serve/src/members/shared_reads.rs
+++ b/crates/guava-serve/src/members/shared_reads.rs
@@ -1,165 +1,169 @@
-//! What daemons know of the platform's store through each other.
+//! Sharing of reads of the platform's store between daemons.
 //!
-//! Calls to the store are dear, and all daemons would read the same. So one reads for all data
-//! centres, and tells the others how far it has read and when; the others read only when that shows
-//! a change, or when nobody's mark is fresh enough. A mark is as old as the read behind it, so a
-//! reader that is cut off or gone is noticed by its age alone: first by its standbys, which then
-//! read for all, and only if these are gone too by everybody.
+//! Calls to the store are expensive, and all daemons would read the same data. So one daemon, the
+//! reader, reads for all data centres and sends the others a read mark: the state that it read and
+//! when. The others read only when a mark shows a change or when no mark is fresh enough. A mark is
+//! as old as the read behind it, so the age of the last mark alone shows that the reader is cut off
+//! or has exited. Its standbys detect that first and read for all; the remaining daemons read only
+//! if the standbys have failed too.
 
 use guava_types::{Deadline, Moment};
 
-/// Daemons that take over when the reader's mark grows old. Two, so that the loss of the reader and
-/// one more at the same moment does not make all daemons read at once.
+/// Number of daemons that take over when the reader's mark becomes stale. Two, so that losing the
+/// reader and one standby at the same moment does not make all daemons read at once.
 pub const STANDBYS: usize = 2;
 
-/// How often the store is read, in milliseconds.
+/// Intervals and ages that decide when the store is read, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadPace {
-    /// Pause between two reads of the reader.
-    pub pause_ms: u64,
-    /// Wait of a read that returns at the next change.
+    /// Interval between two reads of the reader.
+    pub interval_ms: u64,
+    /// Longest wait of a read that returns at the next change.
     pub wait_ms: u64,
-    /// Age of a mark at which the standbys read.
+    /// Age of the last mark at which the standbys read.
     pub standby_ms: u64,
-    /// Age at which a mark no longer counts.
+    /// Age at which a mark is ignored and all daemons read.
     pub expiry_ms: u64,
 }
 
-/// Parts of the time allowed for a change to be in force: after which the reader reads again, from
-/// which the standbys read, and after which nobody relies on a mark any more. Between the first two
-/// lies the pause between two marks of the reader; between the last two a read of a standby and its
-/// way to the others; the rest is for reads of their own, and requests under way.
-const PAUSE_PART: f64 = 0.36;
-const STANDBY_PART: f64 = 0.55;
-const EXPIRY_PART: f64 = 0.65;
+/// Fractions of the time within which a change must be in force: when the reader reads again, when
+/// the standbys read, and when a mark expires. The gap between the first two covers the interval
+/// between two marks of the reader; the gap between the last two covers a read of a standby and the
+/// delivery of its mark. The remainder is for the daemons' own reads and for requests in flight.
+const INTERVAL_FRACTION: f64 = 0.36;
+const STANDBY_FRACTION: f64 = 0.55;
+const EXPIRY_FRACTION: f64 = 0.65;
 
 impl ReadPace {
-    /// The pace where a change must be in force within so many milliseconds.
+    /// Timing with which a change is in force within `limit_ms`.
     pub fn within(limit_ms: u64) -> Self {
-        let part = |part: f64| (limit_ms as f64 * part) as u64;
+        let fraction = |fraction: f64| (limit_ms as f64 * fraction) as u64;
         Self {
-            pause_ms: part(PAUSE_PART),
-            wait_ms: part(PAUSE_PART),
-            standby_ms: part(STANDBY_PART),
-            expiry_ms: part(EXPIRY_PART),
+            interval_ms: fraction(INTERVAL_FRACTION),
+            wait_ms: fraction(INTERVAL_FRACTION),
+            standby_ms: fraction(STANDBY_FRACTION),
+            expiry_ms: fraction(EXPIRY_FRACTION),
         }
     }
 }
 
-/// The moment as of which a read is known to be right that was to wait so many milliseconds for the
-/// first change, and found one or not.
+/// The moment as of which the result of a read is known to be right. The read was sent at `asked`
+/// and waited up to `wait_ms` for the first change.
 ///
-/// A read that found nothing was answered when its wait was over, no sooner; its mark is younger by
-/// that wait than the question. Taken to be as old as the question, a mark would look two waits old
-/// before the next one comes, and reads would have to be twice as frequent.
+/// A read without a result is answered only when its wait is over, so its mark is fresher than the
+/// call by that wait. Dated at the moment of the call, a mark would look two waits old before the
+/// next one arrives, and reads would have to be twice as frequent.
 pub fn read_as_of(asked: Moment, wait_ms: u64, is_empty: bool, answered: Moment) -> Moment {
     let waited = Deadline::after(asked, wait_ms);
     if is_empty && waited.passed(answered) { Moment(asked.0 + wait_ms) } else { asked }
 }
 
-/// A state as somebody read it.
+/// State of the store as one daemon read it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadMark {
-    /// The state: an offset, or a digest.
+    /// An offset or a digest, depending on what was read.
     pub state: u64,
-    /// When the read behind it was begun, on this daemon's clock.
+    /// Moment as of which the state is known to be right, on this daemon's clock.
     pub as_of: Moment,
 }
 
-/// The freshest read of one thing, of this daemon or another.
+/// The last reads of one thing in the store, by this daemon and by its peers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReadTracker {
     own: Option<ReadMark>,
-    heard: Option<ReadMark>,
+    received: Option<ReadMark>,
 }
 
 impl ReadTracker {
-    /// Notes what this daemon itself read.
+    /// Records a read by this daemon.
     pub fn note_own(&mut self, state: u64, as_of: Moment) {
         self.own = Some(ReadMark { state, as_of });
     }
 
-    /// Whether a read that brought this state is to be told at once: it is news, or nobody has read
-    /// for so long that all daemons are about to read themselves.
+    /// Whether a read that returned `state` must be sent to peers at once: it shows a change, or the
+    /// last known read is so old that all daemons are about to read themselves.
     pub fn is_urgent(&self, state: u64, as_of: Moment, pace: ReadPace) -> bool {
         let is_late = |before: Moment| Deadline::after(before, pace.standby_ms).passed(as_of);
         self.own.is_some_and(|own| own.state != state) || self.freshest().is_some_and(is_late)
     }
 
-    /// Takes in that all records since a state brought nothing but what a peer has told itself; this
-    /// daemon need not read them.
+    /// Records that all records from `since` up to `state` hold only what a peer has already sent by
+    /// gossip, so this daemon need not read them.
     pub fn note_skipped(&mut self, since: u64, state: u64) {
         if let Some(own) = self.own.as_mut().filter(|own| (since..state).contains(&own.state)) {
             own.state = state;
         }
     }
 
-    /// Notes that this daemon's state changed without a read.
+    /// Records a state that this daemon reached without a read; the moment of its last read stays.
     pub fn note_state(&mut self, state: u64) {
         if let Some(own) = &mut self.own {
             own.state = state;
         }
     }
 
-    /// Notes what another daemon read.
+    /// Records a read by another daemon, unless a fresher one is already known.
     pub fn note_from_peer(&mut self, mark: ReadMark) {
-        if self.heard.is_none_or(|heard| heard.as_of < mark.as_of) {
-            self.heard = Some(mark);
+        if self.received.is_none_or(|received| received.as_of < mark.as_of) {
+            self.received = Some(mark);
         }
     }
 
-    /// What this daemon itself read last, for the others.
+    /// This daemon's last read, to be sent to its peers.
     pub fn own(&self) -> Option<ReadMark> {
         self.own
     }
 
-    /// The moment as of which this daemon's state is known to be right.
+    /// The moment as of which this daemon's state is known to be right, by its own read or by a
+    /// peer's read of the same state; `None` before its first read.
     pub fn confirmed(&self) -> Option<Moment> {
         let own = self.own?;
-        let is_same = |heard: &ReadMark| heard.state == own.state && heard.as_of > own.as_of;
-        Some(self.heard.filter(is_same).map_or(own.as_of, |heard| heard.as_of))
+        let is_same =
+            |received: &ReadMark| received.state == own.state && received.as_of > own.as_of;
+        Some(self.received.filter(is_same).map_or(own.as_of, |received| received.as_of))
     }
 
-    /// The moment as of which any daemon, this one included, read last.
+    /// Moment of the last known read by any daemon, this one included.
     pub fn freshest(&self) -> Option<Moment> {
-        let heard = self.heard.map(|heard| heard.as_of);
-        self.own.map(|own| own.as_of).max(heard)
+        let received = self.received.map(|received| received.as_of);
+        self.own.map(|own| own.as_of).max(received)
     }
 
-    /// Whether this daemon's own read is the freshest that it knows.
+    /// Whether this daemon's own read is the freshest known.
     pub fn is_freshest(&self) -> bool {
-        self.own.is_some_and(|own| self.heard.is_none_or(|heard| heard.as_of <= own.as_of))
+        self.own.is_some_and(|own| self.received.is_none_or(|received| received.as_of <= own.as_of))
     }
 
-    /// Whether a daemon must read now that has this turn among all, 0 first.
-    pub fn is_due(&self, turn: usize, pace: ReadPace, now: Moment) -> bool {
+    /// Whether the daemon of this rank (0 is the reader) must read now.
+    pub fn is_due(&self, rank: usize, pace: ReadPace, now: Moment) -> bool {
         let (Some(own), Some(confirmed)) = (self.own, self.confirmed()) else { return true };
-        let is_change = |heard: ReadMark| heard.state != own.state && heard.as_of > own.as_of;
+        let is_change =
+            |received: ReadMark| received.state != own.state && received.as_of > own.as_of;
         let is_older = |read: Moment, limit_ms: u64| Deadline::after(read, limit_ms).passed(now);
-        let is_old = match turn {
-            0 => is_older(own.as_of, pace.pause_ms),
+        let is_stale = match rank {
+            0 => is_older(own.as_of, pace.interval_ms),
             1..=STANDBYS => is_older(confirmed, pace.standby_ms),
             _ => is_older(confirmed, pace.expiry_ms),
         };
-        is_old || self.heard.is_some_and(is_change)
+        is_stale || self.received.is_some_and(is_change)
     }
 }
 
-/// What is known of reads of the store.
+/// Read state of everything that daemons read from the store for each other.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SharedReads {
-    /// From which offset on all records of the operator that this daemon read publish weights or drain
-    /// data centres, which it tells by themselves.
+    /// Offset from which all operator records that this daemon read publish weights or drain data
+    /// centres, which it sends to its peers by gossip; `None` if the last one read does not.
     pub published_since: Option<u64>,
-    /// The operator's records: the offset up to which they were read.
+    /// Reads of the operator's records; the state is the offset up to which they were read.
     pub operator: ReadTracker,
-    /// The list of upstreams: its digest.
+    /// Reads of the list of upstreams; the state is its digest.
     pub list: ReadTracker,
 }
 
 impl SharedReads {
-    /// Notes which records of the operator this daemon read from an offset on. Where all of them are
-    /// told by themselves, the others need not read them, which would be a call of each daemon.
+    /// Records that this daemon read `count` operator records from an offset on. If all of them are
+    /// sent by gossip, its peers need not read them, which would cost one call for each daemon.
     pub fn note_records(&mut self, from: u64, count: usize, are_gossiped: bool) {
         if !are_gossiped {
             self.published_since = None;
