--- a/crates/guava-serve/src/members/member_table.rs
+++ b/crates/guava-serve/src/members/member_table.rs
@@ -1,4 +1,4 @@
-//! The daemons: who they are, where callers reach them, and who was heard lately.
+//! Table of the other daemons: identities, addresses, readiness, and when each was last in contact.
 
 use crate::parts::part_index::rendezvous_weight;
 use guava_types::{DataCentre, FastMap, MemberName, Moment};
@@ -6,42 +6,45 @@
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
 
-/// Pause between two messages to a daemon of the same data centre at least, in milliseconds.
-const NEAR_PAUSE_MS: u64 = 250;
-/// The same to those of other data centres in a large deployment: traffic between data centres is
-/// dear.
-const FAR_PAUSE_MS: u64 = 1_000;
-/// Messages that a daemon gets from each of these two groups are bounded, to one in so many
-/// milliseconds: a weak VM would spend all of its share of a core on them. Half a second between two
-/// messages near by would be too long: what they say of a store of cached parts counts for 1.4 s, is
-/// up to half a second old when it is said, and one lost datagram must not end it.
-const MESSAGE_MS: u64 = 5;
-
-/// A daemon of the same data centre that was not heard for so long is not recommended to callers, in
-/// milliseconds, and three of its pauses at least: about six datagrams in a row are missing then.
+/// Shortest interval between two messages to a daemon of the same data centre, in milliseconds.
+const LOCAL_INTERVAL_MS: u64 = 250;
+/// Shortest interval between two messages to other data centres in a large deployment, in
+/// milliseconds; longer because traffic between data centres is expensive.
+const REMOTE_INTERVAL_MS: u64 = 1_000;
+/// Interval per sender, in milliseconds: intervals grow with the number of daemons, so that a daemon
+/// receives at most one message in this time from each of the two groups. More would use up a weak
+/// VM's share of a core. An interval of half a second within a data centre would be too long: the
+/// state of a store of cached parts expires after 1.4 s, is up to half a second old when it is sent,
+/// and must not expire because one datagram is lost.
+const INTERVAL_PER_SENDER_MS: u64 = 5;
+
+/// Time since the last contact, in milliseconds, after which a daemon of the same data centre is
+/// silent and not recommended to callers; at least three intervals. By then about six datagrams in
+/// a row are missing.
 const SILENT_MS: u64 = 1_500;
-const SILENT_PAUSES: u64 = 3;
-/// The same for other data centres, and five halves of their pause.
+const SILENT_INTERVALS: u64 = 3;
+/// The same for other data centres; at least two and a half of their intervals.
 const REMOTE_SILENT_MS: u64 = 2_500;
-/// A daemon that was not heard for so long is forgotten until it speaks again, in milliseconds.
-const FORGOTTEN_MS: u64 = 120_000;
+/// Time since the last contact after which a daemon is removed until it sends again, in milliseconds.
+const RETENTION_MS: u64 = 120_000;
 
-/// Daemons above which a deployment is large: other data centres are told less, and through relays.
-const LARGE_DEPLOYMENT: usize = 16;
+/// Number of daemons above which a deployment is large: other data centres are sent less, and
+/// through relays.
+const LARGE_DEPLOYMENT_DAEMONS: usize = 16;
 
-/// What the daemons' turns at reading the platform's store depend on.
+/// Subject of the rendezvous order in which daemons read the platform's store.
 const READ_SUBJECT: &str = "store";
 
-/// What a daemon says of itself.
+/// Identity, addresses and readiness of a daemon, as it sends them itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberDescriptor {
-    /// Its name.
+    /// Name, unique among all daemons.
     pub name: MemberName,
-    /// Where it stands.
+    /// Data centre in which the daemon runs.
     pub data_centre: DataCentre,
-    /// Where other daemons reach it.
+    /// Address at which it receives datagrams of other daemons.
     pub peer_address: SocketAddr,
-    /// Where callers reach it.
+    /// Address at which it accepts requests of callers.
     pub caller_address: SocketAddr,
     /// Whether callers should be sent to it.
     pub is_ready: bool,
@@ -50,206 +53,218 @@
 #[derive(Clone, Debug)]
 struct MemberEntry {
     member: MemberDescriptor,
-    /// Nothing if it is only known by its record in the store.
-    heard: Option<Moment>,
+    /// `None` if it is only known by its record in the store.
+    last_contact: Option<Moment>,
     listed: Moment,
-    /// Whether it was ready and is no more: it is about to end.
+    /// Whether it was ready and no longer is: it is about to exit.
     is_leaving: bool,
 }
 
-/// Where a daemon begins to take relays in turn.
-fn own_offset(me: &MemberName) -> u64 {
+/// Offset at which a daemon begins its round robin over the relays.
+fn relay_offset(me: &MemberName) -> u64 {
     let mut hasher = FxHasher::default();
     me.hash(&mut hasher);
-    // The high half: the fast hasher leaves its low bits poorly mixed.
+    // The high half, because the fast hasher leaves its low bits poorly mixed.
     hasher.finish() >> 32
 }
 
-/// The other daemons.
+/// The other daemons, as this one knows them.
 #[derive(Debug)]
 pub struct MemberTable {
     data_centre: DataCentre,
     members: FastMap<MemberName, MemberEntry>,
-    /// How many of them stand in this data centre.
-    near: usize,
-    /// Whether the records of all daemons were read since this one started.
+    /// Number of them in this data centre.
+    local_count: usize,
+    /// Whether the records of all daemons have been read since this one started.
     is_listed: bool,
 }
 
 impl MemberTable {
-    /// The daemons as one in a data centre sees them; none is known yet.
+    /// An empty table for a daemon in this data centre.
     pub fn new(data_centre: DataCentre) -> Self {
-        Self { data_centre, members: FastMap::default(), near: 0, is_listed: false }
+        Self { data_centre, members: FastMap::default(), local_count: 0, is_listed: false }
     }
 
-    /// Pause between two of this daemon's messages to those of its data centre, in milliseconds.
+    /// Interval between two of this daemon's summaries to its data centre, in milliseconds; grows with
+    /// the number of daemons there.
     pub fn local_interval_ms(&self) -> u64 {
-        NEAR_PAUSE_MS.max(self.near as u64 * MESSAGE_MS)
+        LOCAL_INTERVAL_MS.max(self.local_count as u64 * INTERVAL_PER_SENDER_MS)
     }
 
-    /// Pause between two of this daemon's messages to other data centres, in milliseconds.
+    /// Interval between two of this daemon's summaries to other data centres, in milliseconds; grows
+    /// with the number of daemons there.
     pub fn remote_interval_ms(&self) -> u64 {
-        FAR_PAUSE_MS.max((self.members.len() - self.near) as u64 * MESSAGE_MS)
+        REMOTE_INTERVAL_MS
+            .max((self.members.len() - self.local_count) as u64 * INTERVAL_PER_SENDER_MS)
     }
 
-    /// Time after which a daemon of a data centre counts as silent, in milliseconds.
+    /// Time since the last contact after which a daemon of a data centre is silent, in milliseconds.
     pub fn silent_ms(&self, data_centre: &DataCentre) -> u64 {
         if *data_centre == self.data_centre {
-            SILENT_MS.max(self.local_interval_ms() * SILENT_PAUSES)
+            SILENT_MS.max(self.local_interval_ms() * SILENT_INTERVALS)
         } else {
             REMOTE_SILENT_MS.max(self.remote_interval_ms() * 5 / 2)
         }
     }
 
-    fn count_near(&mut self) {
-        let is_near = |entry: &&MemberEntry| entry.member.data_centre == self.data_centre;
-        self.near = self.members.values().filter(is_near).count();
+    fn count_local(&mut self) {
+        let is_local = |entry: &&MemberEntry| entry.member.data_centre == self.data_centre;
+        self.local_count = self.members.values().filter(is_local).count();
     }
 
-    /// Takes in a daemon's record in the store; what the daemon says itself goes first.
-    pub fn note_record(&mut self, note: MemberDescriptor, now: Moment) {
-        let entry = self.members.entry(note.name.clone());
+    /// Records a daemon's record in the store; a descriptor that the daemon sent itself takes
+    /// precedence.
+    pub fn note_record(&mut self, descriptor: MemberDescriptor, now: Moment) {
+        let entry = self.members.entry(descriptor.name.clone());
         let entry = entry.or_insert_with(|| MemberEntry {
-            member: note.clone(),
-            heard: None,
+            member: descriptor.clone(),
+            last_contact: None,
             listed: now,
             is_leaving: false,
         });
-        if entry.heard.is_none() {
-            entry.member = note;
+        if entry.last_contact.is_none() {
+            entry.member = descriptor;
         }
-        self.count_near();
+        self.count_local();
     }
 
-    /// Notes that the records of all daemons have been taken in.
+    /// Records that the records of all daemons have been applied.
     pub fn note_listed(&mut self) {
         self.is_listed = true;
     }
 
-    /// Takes in what a daemon says; whether it was silent or unknown before.
-    pub fn note_from_peer(&mut self, note: MemberDescriptor, now: Moment) -> bool {
-        let entry = self.members.get(&note.name);
-        let before = entry.and_then(|entry| entry.heard);
+    /// Applies a descriptor that a daemon sent; returns whether it was silent or unknown before.
+    pub fn note_from_peer(&mut self, descriptor: MemberDescriptor, now: Moment) -> bool {
+        let entry = self.members.get(&descriptor.name);
+        let before = entry.and_then(|entry| entry.last_contact);
         let was_serving = entry.is_some_and(|entry| entry.member.is_ready || entry.is_leaving);
-        let is_leaving = was_serving && !note.is_ready;
-        let silent_ms = self.silent_ms(&note.data_centre);
-        let name = note.name.clone();
-        let entry = MemberEntry { member: note, heard: Some(now), listed: now, is_leaving };
+        let is_leaving = was_serving && !descriptor.is_ready;
+        let silent_ms = self.silent_ms(&descriptor.data_centre);
+        let name = descriptor.name.clone();
+        let entry =
+            MemberEntry { member: descriptor, last_contact: Some(now), listed: now, is_leaving };
         if self.members.insert(name, entry).is_none() {
-            self.count_near();
+            self.count_local();
         }
         before.is_none_or(|before| now.millis_since(before) > silent_ms)
     }
 
-    /// Forgets daemons that were silent for long.
+    /// Removes daemons whose last contact is longer ago than the retention time.
     pub fn sweep(&mut self, now: Moment) {
-        let last = |entry: &MemberEntry| entry.heard.unwrap_or(entry.listed);
-        self.members.retain(|_, entry| now.millis_since(last(entry)) < FORGOTTEN_MS);
-        self.count_near();
+        let last = |entry: &MemberEntry| entry.last_contact.unwrap_or(entry.listed);
+        self.members.retain(|_, entry| now.millis_since(last(entry)) < RETENTION_MS);
+        self.count_local();
     }
 
-    /// Addresses of all daemons that may be there, or only of those in this data centre.
-    pub fn peer_addresses(&self, only_near: bool) -> Vec<SocketAddr> {
-        let notes = self.members.values().map(|entry| &entry.member);
-        let addressed = notes.filter(|note| !only_near || note.data_centre == self.data_centre);
-        addressed.map(|note| note.peer_address).collect()
+    /// Peer addresses of all daemons in the table, silent ones included, or only of those in this
+    /// data centre.
+    pub fn peer_addresses(&self, only_local: bool) -> Vec<SocketAddr> {
+        let descriptors = self.members.values().map(|entry| &entry.member);
+        let addressed = descriptors
+            .filter(|descriptor| !only_local || descriptor.data_centre == self.data_centre);
+        addressed.map(|descriptor| descriptor.peer_address).collect()
     }
 
-    /// One daemon in each other data centre, a different one for each number in turn.
+    /// One daemon in each other data centre, chosen by round robin over `number`.
     ///
-    /// Living ones go first. Where none is known to live, those that are only known by their
-    /// record are tried: a data centre that was cut off must be found again.
+    /// Reachable daemons are preferred. In a data centre without any, silent daemons and those known
+    /// only by their record are used, so that a data centre that was cut off is found again.
     pub fn relays(
         &self,
         me: &MemberName,
         number: u64,
         now: Moment,
     ) -> Vec<(DataCentre, SocketAddr)> {
-        // Daemons that started together count in step. By the number alone all of them take the same
-        // relay at the same moment, which then passes on what hundreds say within milliseconds, over
-        // a link of some megabits: its own messages are late, and what it relays is lost.
-        let number = number.wrapping_add(own_offset(me));
-        let mut by_centre: FastMap<&DataCentre, Vec<&MemberDescriptor>> = FastMap::default();
+        // Daemons that started together have the same number. By the number alone, all of them would
+        // choose the same relay at the same moment. It would then have to relay hundreds of messages
+        // within milliseconds over a link of a few megabits: its own messages would be late, and
+        // those that it relays would be lost.
+        let number = number.wrapping_add(relay_offset(me));
+        let mut reachable_groups: FastMap<&DataCentre, Vec<&MemberDescriptor>> = FastMap::default();
         let mut silent: FastMap<&DataCentre, Vec<&MemberDescriptor>> = FastMap::default();
         for entry in self.members.values().filter(|e| e.member.data_centre != self.data_centre) {
-            let group = if self.is_living(entry, now) { &mut by_centre } else { &mut silent };
+            let group =
+                if self.is_reachable(entry, now) { &mut reachable_groups } else { &mut silent };
             group.entry(&entry.member.data_centre).or_default().push(&entry.member);
         }
-        for (centre, notes) in silent {
-            by_centre.entry(centre).or_insert(notes);
+        for (centre, descriptors) in silent {
+            reachable_groups.entry(centre).or_insert(descriptors);
         }
-        let chosen = by_centre.into_iter().filter_map(|(centre, mut notes)| {
-            notes.sort_unstable_by(|one, other| one.name.cmp(&other.name));
-            let place = usize::try_from(number % notes.len().max(1) as u64).unwrap_or(0);
-            notes.get(place).map(|note| (centre.clone(), note.peer_address))
+        let chosen = reachable_groups.into_iter().filter_map(|(centre, mut descriptors)| {
+            descriptors.sort_unstable_by(|one, other| one.name.cmp(&other.name));
+            let position = usize::try_from(number % descriptors.len().max(1) as u64).unwrap_or(0);
+            descriptors.get(position).map(|descriptor| (centre.clone(), descriptor.peer_address))
         });
         chosen.collect()
     }
 
-    /// Daemons heard lately.
-    pub fn living(&self, now: Moment) -> impl Iterator<Item = &MemberDescriptor> {
-        let living = self.members.values().filter(move |entry| self.is_living(entry, now));
-        living.map(|entry| &entry.member)
+    /// Daemons that were in contact within the time-out.
+    pub fn reachable(&self, now: Moment) -> impl Iterator<Item = &MemberDescriptor> {
+        let reachable = self.members.values().filter(move |entry| self.is_reachable(entry, now));
+        reachable.map(|entry| &entry.member)
     }
 
-    fn is_living(&self, entry: &MemberEntry, now: Moment) -> bool {
-        entry.heard.is_some() && self.is_expected(entry, now)
+    fn is_reachable(&self, entry: &MemberEntry, now: Moment) -> bool {
+        entry.last_contact.is_some() && self.is_reachable_or_new(entry, now)
     }
 
-    /// Number of daemons known, this one included.
+    /// Number of daemons in the table, silent ones included, and this one.
     pub fn count(&self) -> usize {
         self.members.len() + 1
     }
 
-    /// Whether daemons of other data centres are told only a summary, once a second.
+    /// Whether daemons of other data centres are sent summaries only at the remote interval, through
+    /// relays.
     pub fn is_large(&self) -> bool {
-        self.count() > LARGE_DEPLOYMENT
+        self.count() > LARGE_DEPLOYMENT_DAEMONS
     }
 
-    /// How many daemons there are for each one whose prompts this daemon hears of at once.
+    /// Number of all daemons divided by the number of those whose prompts this daemon receives in
+    /// immediate messages; at least 1.
     pub fn sampling_factor(&self) -> f64 {
-        let is_reachable = |entry: &&MemberEntry| self.gets_immediate(&entry.member.data_centre);
-        let heard = 1 + self.members.values().filter(is_reachable).count();
-        self.count() as f64 / heard as f64
+        let sends_immediate = |entry: &&MemberEntry| self.gets_immediate(&entry.member.data_centre);
+        let senders = 1 + self.members.values().filter(sends_immediate).count();
+        self.count() as f64 / senders as f64
     }
 
-    /// Whether a daemon of this data centre tells a daemon of another its prompts at once.
+    /// Whether daemons of this data centre send all their prompts to daemons of `other` in immediate
+    /// messages.
     pub fn gets_immediate(&self, other: &DataCentre) -> bool {
         !self.is_large() || *other == self.data_centre
     }
 
-    /// Where callers reach the daemons that are ready, this one not included.
+    /// Caller addresses of the reachable daemons that are ready, without this one.
     pub fn caller_addresses(&self, now: Moment) -> Vec<SocketAddr> {
-        let ready = self.living(now).filter(|note| note.is_ready);
-        ready.map(|note| note.caller_address).collect()
+        let ready = self.reachable(now).filter(|descriptor| descriptor.is_ready);
+        ready.map(|descriptor| descriptor.caller_address).collect()
     }
 
-    /// This daemon's place in an order of the living daemons that depends on a subject, 0 first:
-    /// daemons with the same view agree on who goes first, and different subjects have different
-    /// orders.
+    /// This daemon's rank, 0 first, in the rendezvous order for a subject of the daemons that share
+    /// tasks. Daemons that know the same members agree on the order, and different subjects have
+    /// different orders.
     pub fn rank(&self, me: &MemberName, subject: &str, now: Moment) -> usize {
-        self.turn_among(me, subject, |entry| self.has_duties(entry, now))
+        self.rank_among(me, subject, |entry| self.shares_tasks(entry, now))
     }
 
-    /// This daemon's place among those that read the platform's store for all; behind all others as
-    /// long as it can't know whether there are any.
+    /// This daemon's rank among those that read the platform's store for all; `usize::MAX` until the
+    /// records of all daemons have been read.
     pub fn reader_rank(&self, me: &MemberName, now: Moment) -> usize {
         if self.is_listed { self.rank(me, READ_SUBJECT, now) } else { usize::MAX }
     }
 
-    /// This daemon's place among the daemons of its data centre that share a duty.
+    /// This daemon's rank among the daemons of its data centre that share a task.
     pub fn local_rank(&self, me: &MemberName, subject: &str, now: Moment) -> usize {
-        let is_near = |entry: &MemberEntry| entry.member.data_centre == self.data_centre;
-        self.turn_among(me, subject, |entry| is_near(entry) && self.has_duties(entry, now))
+        let is_local = |entry: &MemberEntry| entry.member.data_centre == self.data_centre;
+        self.rank_among(me, subject, |entry| is_local(entry) && self.shares_tasks(entry, now))
     }
 
-    /// This daemon's place among all that are known, heard lately or not, for an upstream whose
-    /// requests are limited; nothing as long as it can't know the others.
+    /// This daemon's rank among all known daemons, reachable or silent, for an upstream with a rate
+    /// limit; `None` until the records of all daemons have been read.
     pub fn sender_rank(&self, me: &MemberName, upstream: &str) -> Option<usize> {
-        self.is_listed.then(|| self.turn_among(me, upstream, |_| true))
+        self.is_listed.then(|| self.rank_among(me, upstream, |_| true))
     }
 
-    fn turn_among(
+    fn rank_among(
         &self,
         me: &MemberName,
         subject: &str,
@@ -262,23 +277,24 @@
         others.filter(|entry| weight(&entry.member.name) > own).count()
     }
 
-    /// Whether duties are shared with a daemon. One that leaves hands its duties over while it still
-    /// does them itself; taken over only once it is silent, what it read and followed for others would
-    /// be too old by then.
-    fn has_duties(&self, entry: &MemberEntry, now: Moment) -> bool {
-        !entry.is_leaving && self.is_expected(entry, now)
+    /// Whether tasks are shared with a daemon. A leaving daemon hands its tasks over while it still
+    /// runs them. If they were taken over only once it is silent, the data that it read and followed
+    /// for others would be stale by then.
+    fn shares_tasks(&self, entry: &MemberEntry, now: Moment) -> bool {
+        !entry.is_leaving && self.is_reachable_or_new(entry, now)
     }
 
-    /// Whether a daemon lives as far as can be told, or has only just been found: one that starts
-    /// hears nobody yet, and would do every duty of a daemon that is alone.
-    fn is_expected(&self, entry: &MemberEntry, now: Moment) -> bool {
+    /// Whether a daemon is reachable, or was first found by its record within the time-out. A daemon
+    /// that starts has received nothing yet; without this it would run every task as if it were alone.
+    fn is_reachable_or_new(&self, entry: &MemberEntry, now: Moment) -> bool {
         let silent_ms = self.silent_ms(&entry.member.data_centre);
-        now.millis_since(entry.heard.unwrap_or(entry.listed)) <= silent_ms
+        now.millis_since(entry.last_contact.unwrap_or(entry.listed)) <= silent_ms
     }
 
-    /// Data centres with a living daemon, this one included.
+    /// Number of data centres with a reachable daemon, this one included.
     pub fn data_centres(&self, now: Moment) -> usize {
-        let mut names: Vec<&DataCentre> = self.living(now).map(|note| &note.data_centre).collect();
+        let mut names: Vec<&DataCentre> =
+            self.reachable(now).map(|descriptor| &descriptor.data_centre).collect();
         names.push(&self.data_centre);
         names.sort_unstable();
         names.dedup();
--- a/crates/guava-serve/src/request/request_plan.rs
+++ b/crates/guava-serve/src/request/request_plan.rs
@@ -247,7 +247,7 @@
     let members = context.members.borrow();
     let is_local = |member: &&MemberDescriptor| member.data_centre == context.identity.data_centre;
     let peers: Vec<MemberName> =
-        members.living(now).filter(is_local).map(|member| member.name.clone()).collect();
+        members.reachable(now).filter(is_local).map(|member| member.name.clone()).collect();
     drop(members);
     choose_engine(&EngineInput {
         request: input.request,
