--- a/crates/guava-serve/src/members/member_table.rs
+++ b/crates/guava-serve/src/members/member_table.rs
@@ -11,11 +11,11 @@
 /// Shortest interval between two messages to other data centres in a large deployment, in
 /// milliseconds; longer because traffic between data centres is expensive.
 const REMOTE_INTERVAL_MS: u64 = 1_000;
-/// Interval per sender, in milliseconds: intervals grow with the number of daemons, so that a daemon
-/// receives at most one message in this time from each of the two groups. More would use up a weak
-/// VM's share of a core. An interval of half a second within a data centre would be too long: the
-/// state of a store of cached parts expires after 1.4 s, is up to half a second old when it is sent,
-/// and must not expire because one datagram is lost.
+/// Interval per sender, in milliseconds: intervals grow with the number of daemons, so that a
+/// daemon receives at most one message in this time from each of the two groups. More would use up
+/// a weak VM's share of a core. An interval of half a second within a data centre would be too
+/// long: the state of a store of cached parts expires after 1.4 s, is up to half a second old when
+/// it is sent, and must not expire because one datagram is lost.
 const INTERVAL_PER_SENDER_MS: u64 = 5;
 
 /// Time since the last contact, in milliseconds, after which a daemon of the same data centre is
@@ -25,7 +25,8 @@
 const SILENT_INTERVALS: u64 = 3;
 /// The same for other data centres; at least two and a half of their intervals.
 const REMOTE_SILENT_MS: u64 = 2_500;
-/// Time since the last contact after which a daemon is removed until it sends again, in milliseconds.
+/// Time since the last contact after which a daemon is removed until it sends again, in
+/// milliseconds.
 const RETENTION_MS: u64 = 120_000;
 
 /// Number of daemons above which a deployment is large: other data centres are sent less, and
@@ -85,20 +86,21 @@
         Self { data_centre, members: FastMap::default(), local_count: 0, is_listed: false }
     }
 
-    /// Interval between two of this daemon's summaries to its data centre, in milliseconds; grows with
-    /// the number of daemons there.
+    /// Interval between two of this daemon's summaries to its data centre, in milliseconds; grows
+    /// with the number of daemons there.
     pub fn local_interval_ms(&self) -> u64 {
         LOCAL_INTERVAL_MS.max(self.local_count as u64 * INTERVAL_PER_SENDER_MS)
     }
 
-    /// Interval between two of this daemon's summaries to other data centres, in milliseconds; grows
-    /// with the number of daemons there.
+    /// Interval between two of this daemon's summaries to other data centres, in milliseconds;
+    /// grows with the number of daemons there.
     pub fn remote_interval_ms(&self) -> u64 {
         REMOTE_INTERVAL_MS
             .max((self.members.len() - self.local_count) as u64 * INTERVAL_PER_SENDER_MS)
     }
 
-    /// Time since the last contact after which a daemon of a data centre is silent, in milliseconds.
+    /// Time since the last contact after which a daemon of a data centre is silent, in
+    /// milliseconds.
     pub fn silent_ms(&self, data_centre: &DataCentre) -> u64 {
         if *data_centre == self.data_centre {
             SILENT_MS.max(self.local_interval_ms() * SILENT_INTERVALS)
@@ -167,18 +169,18 @@
 
     /// One daemon in each other data centre, chosen by round robin over `number`.
     ///
-    /// Reachable daemons are preferred. In a data centre without any, silent daemons and those known
-    /// only by their record are used, so that a data centre that was cut off is found again.
+    /// Reachable daemons are preferred. In a data centre without any, silent daemons and those
+    /// known only by their record are used, so that a data centre that was cut off is found again.
     pub fn relays(
         &self,
         me: &MemberName,
         number: u64,
         now: Moment,
     ) -> Vec<(DataCentre, SocketAddr)> {
-        // Daemons that started together have the same number. By the number alone, all of them would
-        // choose the same relay at the same moment. It would then have to relay hundreds of messages
-        // within milliseconds over a link of a few megabits: its own messages would be late, and
-        // those that it relays would be lost.
+        // Daemons that started together have the same number. By the number alone, all of them
+        // would choose the same relay at the same moment. It would then have to relay hundreds of
+        // messages within milliseconds over a link of a few megabits: its own messages would be
+        // late, and those that it relays would be lost.
         let number = number.wrapping_add(relay_offset(me));
         let mut reachable_groups: FastMap<&DataCentre, Vec<&MemberDescriptor>> = FastMap::default();
         let mut silent: FastMap<&DataCentre, Vec<&MemberDescriptor>> = FastMap::default();
@@ -213,8 +215,8 @@
         self.members.len() + 1
     }
 
-    /// Whether daemons of other data centres are sent summaries only at the remote interval, through
-    /// relays.
+    /// Whether daemons of other data centres are sent summaries only at the remote interval,
+    /// through relays.
     pub fn is_large(&self) -> bool {
         self.count() > LARGE_DEPLOYMENT_DAEMONS
     }
@@ -227,8 +229,8 @@
         self.count() as f64 / senders as f64
     }
 
-    /// Whether daemons of this data centre send all their prompts to daemons of `other` in immediate
-    /// messages.
+    /// Whether daemons of this data centre send all their prompts to daemons of `other` in
+    /// immediate messages.
     pub fn gets_immediate(&self, other: &DataCentre) -> bool {
         !self.is_large() || *other == self.data_centre
     }
@@ -246,8 +248,8 @@
         self.rank_among(me, subject, |entry| self.shares_tasks(entry, now))
     }
 
-    /// This daemon's rank among those that read the platform's store for all; `usize::MAX` until the
-    /// records of all daemons have been read.
+    /// This daemon's rank among those that read the platform's store for all; `usize::MAX` until
+    /// the records of all daemons have been read.
     pub fn reader_rank(&self, me: &MemberName, now: Moment) -> usize {
         if self.is_listed { self.rank(me, READ_SUBJECT, now) } else { usize::MAX }
     }
@@ -278,14 +280,15 @@
     }
 
     /// Whether tasks are shared with a daemon. A leaving daemon hands its tasks over while it still
-    /// runs them. If they were taken over only once it is silent, the data that it read and followed
-    /// for others would be stale by then.
+    /// runs them. If they were taken over only once it is silent, the data that it read and
+    /// followed for others would be stale by then.
     fn shares_tasks(&self, entry: &MemberEntry, now: Moment) -> bool {
         !entry.is_leaving && self.is_reachable_or_new(entry, now)
     }
 
-    /// Whether a daemon is reachable, or was first found by its record within the time-out. A daemon
-    /// that starts has received nothing yet; without this it would run every task as if it were alone.
+    /// Whether a daemon is reachable, or was first found by its record within the time-out. A
+    /// daemon that starts has received nothing yet; without this it would run every task as if it
+    /// were alone.
     fn is_reachable_or_new(&self, entry: &MemberEntry, now: Moment) -> bool {
         let silent_ms = self.silent_ms(&entry.member.data_centre);
         now.millis_since(entry.last_contact.unwrap_or(entry.listed)) <= silent_ms
--- a/crates/guava-serve/src/members/peer_task.rs
+++ b/crates/guava-serve/src/members/peer_task.rs
@@ -1,4 +1,5 @@
-//! Datagrams between daemons.
+//! Tasks that send and receive datagrams between daemons: periodic summaries, immediate messages,
+//! read marks, initial syncs of new peers, and messages relayed to other data centres.
 
 use crate::members::lost_messages::MessageLoss;
 use crate::members::member_table::MemberDescriptor;
@@ -25,43 +26,43 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep, timeout};
 
-/// Pause between two messages on reads of the platform's store, in milliseconds, so that a lost one is
-/// made up for in time.
-const WORDS_PAUSE_MS: u64 = 500;
-/// Age of a message in sending from which it is sent no further, in milliseconds. A daemon that is
-/// suspended between two of some hundred datagrams would send the others with ages that are wrong by
-/// seconds.
-const STALE_MS: u64 = 200;
+/// Interval between two messages with read marks, in milliseconds; short enough that the next one
+/// arrives in time if one is lost.
+const READ_MARK_INTERVAL_MS: u64 = 500;
+/// Time after which sending a datagram to further recipients is abandoned, in milliseconds. A
+/// daemon that is suspended while it sends to some hundred recipients would send the remaining
+/// datagrams with ages that are wrong by seconds.
+const SEND_TIMEOUT_MS: u64 = 200;
 
-/// Pause between two looks at whether the socket is empty, in milliseconds.
-const EMPTY_LOOK_MS: u64 = 50;
+/// Interval between two checks whether the socket is empty, in milliseconds.
+const EMPTY_CHECK_INTERVAL_MS: u64 = 50;
 
-/// What this daemon tells the others about itself.
+/// State of this daemon that it sends to its peers.
 #[derive(Clone)]
 pub struct OwnState {
-    /// Who it is.
+    /// Identity and addresses; `is_ready` below overrides the readiness in it.
     pub me: MemberDescriptor,
-    /// Whether callers should be sent to it.
+    /// Whether callers should be sent to this daemon; read anew for every message.
     pub is_ready: Rc<Cell<bool>>,
-    /// Weights under way.
+    /// Weight versions that engines load or have recently loaded.
     pub rollout: Rc<RefCell<VersionRollout>>,
-    /// Stores of cached parts that it follows.
+    /// Stores of cached parts that this daemon follows.
     pub followed: Rc<RefCell<Vec<SocketAddr>>>,
 }
 
-/// Tells all daemons about this one, for ever.
+/// Task that sends periodic summaries of this daemon to all others; never returns.
 pub async fn send_summaries(context: Rc<ServeContext>, socket: Rc<UdpSocket>, state: OwnState) {
-    let mut far_due = Deadline::default();
+    let mut remote_due = Deadline::default();
     for number in 0.. {
         let now = Moment::now();
-        let message = compose_message(&context, own_news(&state, number, now), now);
+        let message = compose_message(&context, own_summary(&state, number, now), now);
         let (is_large, local_interval_ms, remote_interval_ms) = {
             let members = context.members.borrow();
             (members.is_large(), members.local_interval_ms(), members.remote_interval_ms())
         };
         send_to_all(&socket, &message, &context, is_large).await;
-        if is_large && far_due.passed(now) {
-            far_due = Deadline::after(now, remote_interval_ms);
+        if is_large && remote_due.passed(now) {
+            remote_due = Deadline::after(now, remote_interval_ms);
             let relays = context.members.borrow().relays(&context.identity.name, number, now);
             let relays = relays.into_iter().map(|(_, address)| address).collect();
             send(&socket, &message.for_relay(), &context, relays).await;
@@ -70,9 +71,9 @@
     }
 }
 
-fn own_news(state: &OwnState, number: u64, now: Moment) -> OwnSummary {
+fn own_summary(state: &OwnState, number: u64, now: Moment) -> OwnSummary {
     OwnSummary {
-        member: own_note(state),
+        member: own_descriptor(state),
         loading: state.rollout.borrow().loading(now),
         loaded: state.rollout.borrow().lately_loaded(now),
         followed: state.followed.borrow().clone(),
@@ -80,32 +81,32 @@
     }
 }
 
-fn own_note(state: &OwnState) -> MemberDescriptor {
+fn own_descriptor(state: &OwnState) -> MemberDescriptor {
     MemberDescriptor { is_ready: state.is_ready.get(), ..state.me.clone() }
 }
 
-/// Tells the daemons of all data centres what this one reads of the platform's store, for ever: now
-/// and then, and at once where they would read themselves otherwise.
+/// Task that sends the read marks of the platform's store to the daemons of all data centres:
+/// periodically, and at once where they would otherwise read the store themselves. Never returns.
 pub async fn send_read_marks(context: Rc<ServeContext>, socket: Rc<UdpSocket>, state: OwnState) {
     loop {
         let now = Moment::now();
-        for reads in compose_reads(&context, &own_note(&state), now) {
+        for reads in compose_reads(&context, &own_descriptor(&state), now) {
             send_to_all(&socket, &reads, &context, false).await;
         }
-        let pause = Duration::from_millis(WORDS_PAUSE_MS);
-        // Whether it is time or there is news makes no difference.
-        drop(timeout(pause, context.reads_due.notified()).await);
+        let interval = Duration::from_millis(READ_MARK_INTERVAL_MS);
+        // A time-out and a notification have the same effect.
+        drop(timeout(interval, context.reads_due.notified()).await);
     }
 }
 
-/// Sends to all daemons, or only to those in this data centre.
+/// Sends a message to all daemons, or only to those in this data centre.
 async fn send_to_all(
     socket: &UdpSocket,
     message: &PeerMessage,
     context: &ServeContext,
-    only_near: bool,
+    only_local: bool,
 ) {
-    let addresses = context.members.borrow().peer_addresses(only_near);
+    let addresses = context.members.borrow().peer_addresses(only_local);
     send(socket, message, context, addresses).await;
 }
 
@@ -126,17 +127,17 @@
     context: &ServeContext,
     addresses: &[SocketAddr],
 ) {
-    let stale = Deadline::in_millis(STALE_MS);
+    let deadline = Deadline::in_millis(SEND_TIMEOUT_MS);
     if bytes.len() > MAX_DATAGRAM_BYTES {
-        let reason = format!("{} bytes, {MAX_DATAGRAM_BYTES} are taken", bytes.len());
+        let reason = format!("{} bytes, at most {MAX_DATAGRAM_BYTES} are accepted", bytes.len());
         note_loss(context, MessageLoss::TooLong, &reason);
     }
     for address in addresses {
-        if stale.passed(Moment::now()) {
-            note_loss(context, MessageLoss::Unsent, &"sending took too long");
+        if deadline.passed(Moment::now()) {
+            note_loss(context, MessageLoss::Unsent, &"sending to all recipients took too long");
             return;
         }
-        // The next message follows soon and makes up for one that can't be sent.
+        // A message that can't be sent is made up for by the next one, which follows soon.
         if let Err(error) = socket.send_to(bytes, *address).await {
             note_loss(context, MessageLoss::Unsent, &error);
         }
@@ -147,100 +148,108 @@
     context.lost_messages.borrow_mut().note(loss, reason, &context.metrics, Moment::now());
 }
 
-/// Tells the daemons nearby about large prompts at once, for ever; those elsewhere of the ones that
-/// concern them.
+/// Task that sends immediate messages: initial syncs, crash notices, upstream announcements and
+/// large prompts. In a large deployment, other data centres get only the prompts that concern them,
+/// through relays. Never returns.
 pub async fn send_immediate(context: Rc<ServeContext>, socket: Rc<UdpSocket>, state: OwnState) {
     for number in 0.. {
         context.message_due.notified().await;
-        greet_newcomers(&context, &socket, &state).await;
+        sync_new_peers(&context, &socket, &state).await;
         let is_large = context.members.borrow().is_large();
-        let mut notes = compose_crash_notices(&context, &own_note(&state), Moment::now());
-        notes.extend(compose_announcements(&context, &own_note(&state)));
-        for note in notes {
-            send_to_all(&socket, &note, &context, is_large).await;
+        let mut messages = compose_crash_notices(&context, &own_descriptor(&state), Moment::now());
+        messages.extend(compose_announcements(&context, &own_descriptor(&state)));
+        for message in messages {
+            send_to_all(&socket, &message, &context, is_large).await;
             if is_large {
-                tell_far(&context, &socket, &note, number).await;
+                send_to_relays(&context, &socket, &message, number).await;
             }
         }
-        let Some(note) = compose_immediate(&context, own_note(&state)) else { continue };
-        // Engines that load concern daemons everywhere.
-        let only_near = is_large && note.loading.is_empty();
-        send_to_all(&socket, &note, &context, only_near).await;
-        if only_near {
-            tell_far(&context, &socket, &note, number).await;
+        let Some(message) = compose_immediate(&context, own_descriptor(&state)) else { continue };
+        // Engines that load weights concern the daemons of all data centres.
+        let only_local = is_large && message.loading.is_empty();
+        send_to_all(&socket, &message, &context, only_local).await;
+        if only_local {
+            send_to_relays(&context, &socket, &message, number).await;
         }
     }
 }
 
-async fn greet_newcomers(context: &ServeContext, socket: &UdpSocket, state: &OwnState) {
+async fn sync_new_peers(context: &ServeContext, socket: &UdpSocket, state: &OwnState) {
     let new_peers = std::mem::take(&mut *context.new_peers.borrow_mut());
     if new_peers.is_empty() {
         return;
     }
     let now = Moment::now();
-    for greeting in compose_initial_sync(context, &own_news(state, 0, now), now) {
-        send(socket, &greeting, context, new_peers.clone()).await;
+    for initial_sync in compose_initial_sync(context, &own_summary(state, 0, now), now) {
+        send(socket, &initial_sync, context, new_peers.clone()).await;
     }
 }
 
-/// Tells each other data centre, by way of a relay, of the prompts that concern it.
-async fn tell_far(context: &ServeContext, socket: &UdpSocket, note: &PeerMessage, number: u64) {
+/// Sends each other data centre, through a relay, the content of a message that concerns it.
+async fn send_to_relays(
+    context: &ServeContext,
+    socket: &UdpSocket,
+    message: &PeerMessage,
+    number: u64,
+) {
     let now = Moment::now();
     let relays = context.members.borrow().relays(&context.identity.name, number, now);
     for (data_centre, relay) in relays {
-        let concerns = |sent: &SentPrompt| {
+        let is_relevant = |sent: &SentPrompt| {
             let engine =
                 context.upstreams.borrow().entry(&sent.engine).map(|e| e.data_centre.clone());
             sent.is_for_all || engine.is_some_and(|engine| engine == data_centre)
         };
-        if let Some(far) = note.message_for_relay(concerns) {
-            send(socket, &far, context, vec![relay]).await;
+        if let Some(relay_message) = message.message_for_relay(is_relevant) {
+            send(socket, &relay_message, context, vec![relay]).await;
         }
     }
 }
 
-/// Takes in what other daemons say, for ever.
+/// Task that receives and applies messages of other daemons; never returns.
 pub async fn receive_messages(context: Rc<ServeContext>, socket: Rc<UdpSocket>) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
-    // A datagram may have lain in the socket since it was last seen empty. Taken to have come when it
-    // is read, what it says would look fresher than it is, by as long as this process did not run.
+    // A datagram may have been in the socket since the socket was last found empty. If its arrival
+    // were dated at the moment it is read, its contents would look fresher than they are, by as
+    // long as this process did not run.
     let mut last_empty = Moment::now();
     loop {
         let (length, sender) = match socket.try_recv_from(&mut buffer) {
             Ok(received) => received,
             Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                let look_again = Deadline::after(last_empty, EMPTY_LOOK_MS);
-                if look_again.passed(Moment::now()) {
-                    last_empty = when_empty(&socket).await.unwrap_or(last_empty);
+                let next_check = Deadline::after(last_empty, EMPTY_CHECK_INTERVAL_MS);
+                if next_check.passed(Moment::now()) {
+                    last_empty = empty_since(&socket).await.unwrap_or(last_empty);
                 }
-                let wait = Duration::from_millis(EMPTY_LOOK_MS);
-                // Whether there is something is seen by the next read.
+                let wait = Duration::from_millis(EMPTY_CHECK_INTERVAL_MS);
+                // The next read shows whether a datagram has arrived.
                 drop(timeout(wait, socket.readable()).await);
                 continue;
             }
             Err(_) => {
-                // Errors here are of datagrams sent before, to daemons that are gone.
+                // Errors here concern datagrams sent earlier, to daemons that have exited.
                 sleep(Duration::from_millis(1)).await;
                 continue;
             }
         };
-        take_datagram(&context, &socket, &buffer[..length], sender, last_empty).await;
-        // Reads that don't wait use up no budget by themselves; without that the other duties would
-        // not run while datagrams come faster than they are read.
+        apply_datagram(&context, &socket, &buffer[..length], sender, last_empty).await;
+        // Reads that don't wait consume no task budget by themselves. Without this call the other
+        // tasks would not run while datagrams arrive faster than they are read.
         consume_budget().await;
     }
 }
 
-/// The moment as of which nothing lies in a socket; nothing if something does. That a read finds
-/// nothing is only as new as the runtime's last look at the socket, so it is made to look first.
-async fn when_empty(socket: &UdpSocket) -> Option<Moment> {
+/// The moment as of which the socket is empty, or `None` if it is not. A read that finds no
+/// datagram is only as recent as the runtime's last poll of the socket, so the runtime is made to
+/// poll first.
+async fn empty_since(socket: &UdpSocket) -> Option<Moment> {
     let before = Moment::now();
     yield_now().await;
     let ready = poll_fn(|context| Poll::Ready(socket.poll_recv_ready(context))).await;
     ready.is_pending().then_some(before)
 }
 
-async fn take_datagram(
+async fn apply_datagram(
     context: &ServeContext,
     socket: &UdpSocket,
     bytes: &[u8],
--- a/crates/guava-serve/src/members/shared_reads.rs
+++ b/crates/guava-serve/src/members/shared_reads.rs
@@ -80,15 +80,15 @@
         self.own = Some(ReadMark { state, as_of });
     }
 
-    /// Whether a read that returned `state` must be sent to peers at once: it shows a change, or the
-    /// last known read is so old that all daemons are about to read themselves.
+    /// Whether a read that returned `state` must be sent to peers at once: it shows a change, or
+    /// the last known read is so old that all daemons are about to read themselves.
     pub fn is_urgent(&self, state: u64, as_of: Moment, pace: ReadPace) -> bool {
         let is_late = |before: Moment| Deadline::after(before, pace.standby_ms).passed(as_of);
         self.own.is_some_and(|own| own.state != state) || self.freshest().is_some_and(is_late)
     }
 
-    /// Records that all records from `since` up to `state` hold only what a peer has already sent by
-    /// gossip, so this daemon need not read them.
+    /// Records that all records from `since` up to `state` hold only what a peer has already sent
+    /// by gossip, so this daemon need not read them.
     pub fn note_skipped(&mut self, since: u64, state: u64) {
         if let Some(own) = self.own.as_mut().filter(|own| (since..state).contains(&own.state)) {
             own.state = state;
