--- a/crates/guava-serve/src/members/member_table.rs
+++ b/crates/guava-serve/src/members/member_table.rs
@@ -36,7 +36,7 @@
 /// Subject of the rendezvous order in which daemons read the platform's store.
 const READ_SUBJECT: &str = "store";
 
-/// Identity, addresses and readiness of a daemon, as it sends them itself.
+/// Identity, addresses and readiness of a daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberDescriptor {
     /// Name, unique among all daemons.
@@ -114,8 +114,7 @@
         self.local_count = self.members.values().filter(is_local).count();
     }
 
-    /// Records a daemon's record in the store; a descriptor that the daemon sent itself takes
-    /// precedence.
+    /// Applies a daemon's record from the store, unless the daemon has sent a descriptor itself.
     pub fn note_record(&mut self, descriptor: MemberDescriptor, now: Moment) {
         let entry = self.members.entry(descriptor.name.clone());
         let entry = entry.or_insert_with(|| MemberEntry {
@@ -130,7 +129,7 @@
         self.count_local();
     }
 
-    /// Records that the records of all daemons have been applied.
+    /// Notes that the records of all daemons have been read and applied.
     pub fn note_listed(&mut self) {
         self.is_listed = true;
     }
@@ -183,13 +182,16 @@
         // late, and those that it relays would be lost.
         let number = number.wrapping_add(relay_offset(me));
         let mut reachable_groups: FastMap<&DataCentre, Vec<&MemberDescriptor>> = FastMap::default();
-        let mut silent: FastMap<&DataCentre, Vec<&MemberDescriptor>> = FastMap::default();
+        let mut silent_groups: FastMap<&DataCentre, Vec<&MemberDescriptor>> = FastMap::default();
         for entry in self.members.values().filter(|e| e.member.data_centre != self.data_centre) {
-            let group =
-                if self.is_reachable(entry, now) { &mut reachable_groups } else { &mut silent };
+            let group = if self.is_reachable(entry, now) {
+                &mut reachable_groups
+            } else {
+                &mut silent_groups
+            };
             group.entry(&entry.member.data_centre).or_default().push(&entry.member);
         }
-        for (centre, descriptors) in silent {
+        for (centre, descriptors) in silent_groups {
             reachable_groups.entry(centre).or_insert(descriptors);
         }
         let chosen = reachable_groups.into_iter().filter_map(|(centre, mut descriptors)| {
--- a/crates/guava-serve/tests/shared_reads.rs
+++ b/crates/guava-serve/tests/shared_reads.rs
@@ -121,7 +121,7 @@
 
 #[test]
 fn standby_reads_for_all_when_the_reader_is_cut_off_from_the_store() {
-    // Symptom: only one daemon is cut off from the store, and 295 daemons read at the same moment.
+    // Symptom: a daemon is cut off from the store only, and 295 daemons read at the same moment.
     // Sequence: it is the reader; its last mark becomes stale at all other daemons together.
     // Cause: the reader had no standbys.
     let pace = ReadPace::within(4_000);
