--- a/crates/guava-serve/src/members/retry_pause.rs
+++ b/crates/guava-serve/src/members/retry_pause.rs
@@ -1,29 +1,29 @@
-//! How long a daemon pauses between calls to the platform's store that fail.
+//! Exponential retry delays after failed calls to the platform's store.
 //!
-//! A store that is down or turns a daemon away is asked again by every daemon of the deployment, and
-//! each refused call is paid for. The reader and its standbys ask often, since the others learn from
-//! them that the store is back; so does a daemon that has no configuration and serves nothing. The
-//! others ask ever more rarely.
+//! Every daemon of the deployment retries a store that is unavailable or refuses calls, and each
+//! refused call is charged. The reader and its standbys retry often, since the others learn from them
+//! that the store is available again; so does a daemon without a configuration, which can't serve.
+//! The delays of all others grow longer.
 
 use crate::members::shared_reads::STANDBYS;
 use crate::serve_context::ServeContext;
 use guava_types::Moment;
 use std::time::Duration;
 
-/// The first pause of a daemon on which others wait, in milliseconds: lost answers and short
-/// refusals are over by then.
-const FIRST_MS: u64 = 250;
-/// The first pause of the others, in milliseconds: if the store is away for all, the reader tells
-/// when it is back.
-const OTHER_FIRST_MS: u64 = 800;
-/// The longest pause of a daemon on which others wait, in milliseconds: listed upstreams that lapsed
-/// are to be back two seconds after the store is.
-const URGENT_MOST_MS: u64 = 500;
-/// The longest pause of the others, in milliseconds. They may be behind for so long after the store
-/// is back, and must not be for longer than about three seconds.
-const MOST_MS: u64 = 1_600;
+/// Delay after the first failure of an urgent read, in milliseconds. Lost answers and short refusals
+/// are over by then.
+const URGENT_MIN_MS: u64 = 250;
+/// Delay after the first failure of any other read, in milliseconds. If the store is unavailable to
+/// all daemons, the reader reports when it is available again.
+const OTHER_MIN_MS: u64 = 800;
+/// Maximum delay of an urgent read, in milliseconds. Listed upstreams that lapsed must be usable again
+/// within two seconds after the store is available.
+const URGENT_MAX_MS: u64 = 500;
+/// Maximum delay of any other read, in milliseconds. A daemon's state may be stale for so long after
+/// the store is available again, and must not be stale for more than about three seconds.
+const OTHER_MAX_MS: u64 = 1_600;
 
-/// The pause after the next failure.
+/// The delay after the next failed call; it doubles with each failure and is reset by a success.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RetryPause {
     /// Zero after a success.
@@ -31,25 +31,27 @@
 }
 
 impl RetryPause {
-    /// Notes that a call succeeded.
+    /// Records a successful call: the next failure gets the minimum delay again.
     pub fn reset(&mut self) {
         *self = Self::default();
     }
 
-    /// The pause after one more failure, twice as long as the one before; `draw` in 0..1 spreads
-    /// daemons that lost the store together by a quarter, so that they don't return together.
+    /// The delay after one more failure: twice the previous one, within the bounds that `is_urgent`
+    /// selects. `draw` in 0..1 adds up to a quarter, so that daemons that lost the store at the same
+    /// moment don't retry at the same moment.
     pub fn after_failure(&mut self, is_urgent: bool, draw: f64) -> Duration {
-        let (first_ms, most_ms) =
-            if is_urgent { (FIRST_MS, URGENT_MOST_MS) } else { (OTHER_FIRST_MS, MOST_MS) };
-        let pause_ms = self.next_ms.clamp(first_ms, most_ms);
-        self.next_ms = pause_ms * 2;
-        Duration::from_millis(pause_ms + (pause_ms as f64 * draw / 4.0) as u64)
+        let (min_ms, max_ms) =
+            if is_urgent { (URGENT_MIN_MS, URGENT_MAX_MS) } else { (OTHER_MIN_MS, OTHER_MAX_MS) };
+        let delay_ms = self.next_ms.clamp(min_ms, max_ms);
+        self.next_ms = delay_ms * 2;
+        Duration::from_millis(delay_ms + (delay_ms as f64 * draw / 4.0) as u64)
     }
 }
 
-/// Whether others wait for what this daemon reads of the store, or it can't serve without.
+/// Whether other daemons rely on this daemon's reads of the store (it is the reader or a standby), or
+/// it has no configuration and can't serve without a read.
 pub fn is_read_urgent(context: &ServeContext) -> bool {
     let has_config = context.config.borrow().current().is_some();
-    let turn = context.members.borrow().reader_rank(&context.identity.name, Moment::now());
-    !has_config || turn <= STANDBYS
+    let rank = context.members.borrow().reader_rank(&context.identity.name, Moment::now());
+    !has_config || rank <= STANDBYS
 }
