--- a/crates/guava-serve/src/members/peer_exchange.rs
+++ b/crates/guava-serve/src/members/peer_exchange.rs
@@ -1,4 +1,8 @@
-//! What a daemon tells its peers, and what it takes from their messages.
+//! Composes the messages that a daemon sends to its peers, and applies those that it receives.
+//!
+//! Summaries are sent periodically; immediate messages carry what peers must know before the next
+//! summary; read marks state what was read of the platform's store, and when; the initial sync gives
+//! a newly seen daemon the complete contents of the followed stores.
 
 use crate::events;
 use crate::members::list_change_gossip::MOST_TOLD;
@@ -21,65 +25,65 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// How long an upstream counts as loading after a peer said so, in milliseconds, and half of the time
-/// at least after which the peer would count as silent: it says so again with each message, and this
-/// is more than a pause between two.
-const LOADING_MS: u64 = 1_200;
+/// Minimum time for which an upstream counts as loading after a peer reported it, in milliseconds.
+/// Half of the silence timeout applies where that is longer. The peer repeats the report with each
+/// summary, and this is longer than the interval between two summaries.
+const MIN_LOADING_MS: u64 = 1_200;
 
-/// How often peers are told all that a followed store holds, in messages: lost datagrams and
-/// daemons that start later make up for what they missed.
-const WHOLE_EVERY: u64 = 10;
-/// Parts told in one message at most, so that it fits into a datagram.
-const MOST_PARTS: usize = 300;
-/// Stopped requests told in one message at most, of 24 bytes each.
-const MOST_STOPS: usize = 32;
-/// How old this daemon's reading of the upstreams' clock gets before a peer's is taken, in
+/// Number of summaries from one full update of a followed store to the next. Full updates make up for
+/// lost datagrams, and for what daemons that started later have missed.
+const FULL_UPDATE_INTERVAL_MESSAGES: u64 = 10;
+/// Maximum number of prompt parts in one message, so that it fits into a datagram.
+const MAX_PARTS: usize = 300;
+/// Maximum number of quarantined requests, and of cleared ones, in one message; each takes 24 bytes.
+const MAX_QUARANTINES: usize = 32;
+/// Age from which this daemon's reading of the upstreams' clock is replaced by a peer's, in
 /// milliseconds.
 const CLOCK_EXPIRY_MS: u64 = 2_000;
 
-/// What a daemon's duties have to tell the others.
+/// What a daemon's tasks contribute to its next summary.
 #[derive(Clone, Debug)]
 pub struct OwnSummary {
     /// This daemon.
     pub member: MemberDescriptor,
-    /// Upstreams that load new weights at its order.
+    /// Upstreams that load new weights because this daemon ordered it.
     pub loading: Vec<UpstreamId>,
-    /// Engines that lately got their weights by its order.
+    /// Engines that recently loaded weights because this daemon ordered it.
     pub loaded: Vec<LoadedVersion>,
-    /// Stores of cached parts that it follows.
+    /// Stores of cached prompt parts whose contents this daemon follows.
     pub followed: Vec<SocketAddr>,
-    /// Number of the message.
+    /// Sequence number of the summary; it decides which stores get a full update.
     pub number: u64,
 }
 
-/// What to tell the peers now.
-pub fn compose_message(context: &ServeContext, news: OwnSummary, now: Moment) -> PeerMessage {
+/// Composes the next summary for the peers. Empties the list of sent prompts, so each is reported once.
+pub fn compose_message(context: &ServeContext, summary: OwnSummary, now: Moment) -> PeerMessage {
     let work = context.work.borrow();
     let shares = work.own_shares().map(|(id, share)| (id.clone(), share)).collect();
     let reads = context.reads.borrow();
     let listed = context.list_change_gossip.borrow_mut().told(now);
     let announcements = summary_announcements(context, now);
-    // A digest without all changes behind it would make everybody read the list.
-    let is_list_told = listed.len() <= MOST_TOLD;
+    // A digest sent without all the changes that led to it would make every peer read the list.
+    let is_list_included = listed.len() <= MOST_TOLD;
     PeerMessage {
-        member: news.member,
+        member: summary.member,
         shares,
         sent: std::mem::take(&mut context.sent_prompts.borrow_mut()),
-        loading: news.loading,
-        targets: published(context, now),
-        stores: store_updates(context, &news.followed, news.number),
+        loading: summary.loading,
+        targets: published_versions(context, now),
+        stores: store_updates(context, &summary.followed, summary.number),
         operator: reads.operator.own(),
         published_since: None,
-        list: reads.list.own().filter(|_| is_list_told),
-        loaded: news.loaded,
+        list: reads.list.own().filter(|_| is_list_included),
+        loaded: summary.loaded,
         clock_ms: context.upstream_clock_in(0, now),
-        listed: if is_list_told { listed } else { Vec::new() },
+        listed: if is_list_included { listed } else { Vec::new() },
         slow_links: context.links.borrow().slow_links(now),
         speeds: context.speeds.borrow_mut().recent_own(now),
         ended: context.crash_gossip.borrow_mut().repeated(now),
-        stops: told_stops(context, now),
-        cleared: told_cleared(context),
-        knows_quarantines: tells_all_stops(context, now),
+        stops: quarantine_notices(context, now),
+        cleared: clear_notices(context),
+        knows_quarantines: holds_all_quarantines(context, now),
         drains: context.drains.borrow().notices(),
         limits: announcements.limits,
         leaving: announcements.leaving,
@@ -89,99 +93,102 @@
     }
 }
 
-/// Stopped requests as told: nearly always none. Where there are more than fit, others each time.
-fn told_stops(context: &ServeContext, now: Moment) -> Vec<QuarantineNotice> {
-    let mut stops: Vec<QuarantineNotice> = context.ledger.borrow().quarantines(now).collect();
-    if stops.len() > MOST_STOPS {
-        let from = rand::random::<u64>() as usize % stops.len();
-        stops.rotate_left(from);
-        stops.truncate(MOST_STOPS);
-    }
-    stops
+/// The quarantined requests to send; nearly always none. If they exceed `MAX_QUARANTINES`, each
+/// message carries a random selection, so that repeated messages cover all of them.
+fn quarantine_notices(context: &ServeContext, now: Moment) -> Vec<QuarantineNotice> {
+    let mut notices: Vec<QuarantineNotice> = context.ledger.borrow().quarantines(now).collect();
+    if notices.len() > MAX_QUARANTINES {
+        let offset = rand::random::<u64>() as usize % notices.len();
+        notices.rotate_left(offset);
+        notices.truncate(MAX_QUARANTINES);
+    }
+    notices
 }
 
-/// Whether a message holds all that the records of stopped requests say.
-fn tells_all_stops(context: &ServeContext, now: Moment) -> bool {
+/// Whether a message carries the complete quarantine records.
+fn holds_all_quarantines(context: &ServeContext, now: Moment) -> bool {
     context.quarantine_sync.get().is_known
-        && context.ledger.borrow().quarantines(now).count() <= MOST_STOPS
+        && context.ledger.borrow().quarantines(now).count() <= MAX_QUARANTINES
 }
 
-fn told_cleared(context: &ServeContext) -> Vec<ClearNotice> {
-    context.ledger.borrow().cleared().take(MOST_STOPS).collect()
+fn clear_notices(context: &ServeContext) -> Vec<ClearNotice> {
+    context.ledger.borrow().cleared().take(MAX_QUARANTINES).collect()
 }
 
-/// A note on prompts that were just sent and upstreams that will load weights, if there are any.
-/// Until the next message all daemons would else take the same idle engine, and each prompt would
-/// wait for the others; or be refused by an engine that loads.
-pub fn compose_immediate(context: &ServeContext, note: MemberDescriptor) -> Option<PeerMessage> {
+/// An immediate message about prompts that were just sent and upstreams that are about to load
+/// weights; `None` if there are none. If these waited for the next summary, all daemons would choose
+/// the same idle engine and their prompts would queue there, or be refused by an engine that loads.
+pub fn compose_immediate(context: &ServeContext, member: MemberDescriptor) -> Option<PeerMessage> {
     let sent = std::mem::take(&mut *context.just_sent.borrow_mut());
     let loading = std::mem::take(&mut *context.just_loading.borrow_mut());
     if sent.is_empty() && loading.is_empty() {
         return None;
     }
-    Some(PeerMessage { sent, loading, ..PeerMessage::empty(note) })
+    Some(PeerMessage { sent, loading, ..PeerMessage::empty(member) })
 }
 
-/// Notes on upstreams that just ended, with the requests that are stopped or cleared for it. Told a
-/// second later, a request that ends what runs it would have been sent to some upstreams more.
+/// Immediate messages about upstreams that just crashed, with the requests quarantined or cleared as
+/// a result. If they waited a second, a crash-inducing request would reach several more upstreams.
 pub fn compose_crash_notices(
     context: &ServeContext,
-    note: &MemberDescriptor,
+    member: &MemberDescriptor,
     now: Moment,
 ) -> Vec<PeerMessage> {
-    let ends = context.crash_gossip.borrow_mut().take_unsent();
+    let crashes = context.crash_gossip.borrow_mut().take_unsent();
     let message =
-        |ended: Vec<CrashNotice>| PeerMessage { ended, ..PeerMessage::empty(note.clone()) };
-    let mut messages: Vec<PeerMessage> = ends.into_iter().map(message).collect();
+        |ended: Vec<CrashNotice>| PeerMessage { ended, ..PeerMessage::empty(member.clone()) };
+    let mut messages: Vec<PeerMessage> = crashes.into_iter().map(message).collect();
     if context.verdicts_due.take() {
-        let (stops, cleared) = (told_stops(context, now), told_cleared(context));
+        let (stops, cleared) = (quarantine_notices(context, now), clear_notices(context));
         let last = messages.pop().unwrap_or_else(|| message(Vec::new()));
         messages.push(PeerMessage { stops, cleared, ..last });
     }
     messages
 }
 
-/// A note on what upstreams have just said of themselves, if there is any.
+/// An immediate message about new upstream announcements; `None` if there are none.
 pub fn compose_announcements(
     context: &ServeContext,
-    note: &MemberDescriptor,
+    member: &MemberDescriptor,
 ) -> Option<PeerMessage> {
     let AnnouncementBatch { limits, leaving } = urgent_announcements(context);
     let is_due = !limits.is_empty() || !leaving.is_empty();
-    is_due.then(|| PeerMessage { limits, leaving, ..PeerMessage::empty(note.clone()) })
+    is_due.then(|| PeerMessage { limits, leaving, ..PeerMessage::empty(member.clone()) })
 }
 
-/// What this daemon has read of the platform's store, if it reads for all; in several messages where
-/// the list changed much. Told to the daemons of all data centres directly, since a relay that is
-/// suspended would pass an old read on as a new one.
+/// The read marks of this daemon, if it is the reader of the platform's store or one of its standbys;
+/// several messages if the list has many changes. They are sent directly to the daemons of all data
+/// centres, because a suspended relay would forward an old read as a fresh one.
 pub fn compose_reads(
     context: &ServeContext,
-    note: &MemberDescriptor,
+    member: &MemberDescriptor,
     now: Moment,
 ) -> Vec<PeerMessage> {
-    let turn = context.members.borrow().reader_rank(&context.identity.name, now);
-    if turn > STANDBYS {
+    let rank = context.members.borrow().reader_rank(&context.identity.name, now);
+    if rank > STANDBYS {
         return Vec::new();
     }
     let reads = context.reads.borrow();
-    // The reader tells its reads also when it has heard of a later one: whoever read for itself tells
-    // only those near by, and all others would wait for the reader's until they read too.
-    let told = |keeper: &ReadTracker| keeper.own().filter(|_| turn == 0 || keeper.is_freshest());
-    let (operator, list) = (told(&reads.operator), told(&reads.list));
+    // The reader sends its marks even if it knows of a later read. Any other daemon reports its reads
+    // only within its data centre, so the others would wait for the reader's and then read themselves.
+    let own_mark =
+        |tracker: &ReadTracker| tracker.own().filter(|_| rank == 0 || tracker.is_freshest());
+    let (operator, list) = (own_mark(&reads.operator), own_mark(&reads.list));
     if operator.is_none() && list.is_none() {
         return Vec::new();
     }
     let listed = context.list_change_gossip.borrow_mut().told(now);
     let message = |listed: &[ListChange]| PeerMessage {
         listed: listed.to_vec(),
-        ..PeerMessage::empty(note.clone())
+        ..PeerMessage::empty(member.clone())
     };
     let mut messages: Vec<PeerMessage> = listed.chunks(MOST_TOLD).map(message).collect();
-    // The digest goes with the last of the changes that lead to it.
+    // The digest is in the message with the last of the changes that led to it.
     let last = messages.pop().unwrap_or_else(|| message(&[]));
     let published_since = reads.published_since;
-    let targets = published(context, now);
-    let (stops, knows_quarantines) = (told_stops(context, now), tells_all_stops(context, now));
+    let targets = published_versions(context, now);
+    let (stops, knows_quarantines) =
+        (quarantine_notices(context, now), holds_all_quarantines(context, now));
     messages.push(PeerMessage {
         operator,
         published_since,
@@ -196,7 +203,7 @@
 }
 
 /// The newest published weights of each model, with the age of each publication.
-fn published(context: &ServeContext, now: Moment) -> Vec<PublishedVersion> {
+fn published_versions(context: &ServeContext, now: Moment) -> Vec<PublishedVersion> {
     let targets = context.targets.borrow();
     let published = targets.iter().map(|(model, target)| PublishedVersion {
         model: model.clone(),
@@ -206,56 +213,56 @@
     published.collect()
 }
 
-/// What to tell a daemon of this data centre that has just been heard: all that the followed stores
-/// hold, one in a message. Otherwise it would know after three seconds, when whole words come next,
-/// and have the parts read again until then.
+/// The initial sync for a newly seen daemon of this data centre: the contents of the followed stores,
+/// one store per message. Without it the daemon would learn them from the next full update, three
+/// seconds later, and until then have engines compute the cached parts again.
 pub fn compose_initial_sync(
     context: &ServeContext,
-    news: &OwnSummary,
+    summary: &OwnSummary,
     now: Moment,
 ) -> Vec<PeerMessage> {
     let work = context.work.borrow();
     let index = context.part_index.borrow();
-    let announcements = news.followed.iter().filter_map(|store| index.full_store_update(*store));
-    let told = announcements.map(|word| PeerMessage {
+    let updates = summary.followed.iter().filter_map(|store| index.full_store_update(*store));
+    let messages = updates.map(|update| PeerMessage {
         shares: work.own_shares().map(|(id, share)| (id.clone(), share)).collect(),
-        targets: published(context, now),
+        targets: published_versions(context, now),
         drains: context.drains.borrow().notices(),
-        stores: vec![cut_to(word, MOST_PARTS)],
+        stores: vec![truncate_update(update, MAX_PARTS)],
         clock_ms: context.upstream_clock_in(0, now),
         is_immediate: false,
-        ..PeerMessage::empty(news.member.clone())
+        ..PeerMessage::empty(summary.member.clone())
     });
-    told.collect()
+    messages.collect()
 }
 
-/// A word with so many parts at most; told in part, it is no whole list.
-fn cut_to(mut word: StoreUpdate, room: usize) -> StoreUpdate {
-    if word.parts.len() > room {
-        word.is_whole = false;
-        let from = rand::random::<u64>() as usize % word.parts.len().max(1);
-        // The rest follows in later ones.
-        word.parts.rotate_left(from);
-        word.parts.truncate(room);
-    }
-    word
+/// Reduces an update to at most `max_parts` parts. A reduced update is marked as incomplete.
+fn truncate_update(mut update: StoreUpdate, max_parts: usize) -> StoreUpdate {
+    if update.parts.len() > max_parts {
+        update.is_whole = false;
+        let offset = rand::random::<u64>() as usize % update.parts.len().max(1);
+        // The random offset lets later updates carry the remaining parts.
+        update.parts.rotate_left(offset);
+        update.parts.truncate(max_parts);
+    }
+    update
 }
 
 fn store_updates(context: &ServeContext, followed: &[SocketAddr], number: u64) -> Vec<StoreUpdate> {
     let mut index = context.part_index.borrow_mut();
-    let mut told = 0;
-    let mut announcements = Vec::new();
-    for (place, store) in followed.iter().enumerate() {
-        let is_whole = (number + place as u64).is_multiple_of(WHOLE_EVERY);
-        let Some(word) = index.store_update(*store, is_whole) else { continue };
-        let word = cut_to(word, MOST_PARTS - told);
-        told += word.parts.len();
-        announcements.push(word);
-    }
-    announcements
+    let mut sent_parts = 0;
+    let mut updates = Vec::new();
+    for (position, store) in followed.iter().enumerate() {
+        let is_full = (number + position as u64).is_multiple_of(FULL_UPDATE_INTERVAL_MESSAGES);
+        let Some(update) = index.store_update(*store, is_full) else { continue };
+        let update = truncate_update(update, MAX_PARTS - sent_parts);
+        sent_parts += update.parts.len();
+        updates.push(update);
+    }
+    updates
 }
 
-/// Takes a peer's message in.
+/// Applies a message of a peer. A message that this daemon itself sent is ignored.
 pub fn apply_message(context: &ServeContext, message: PeerMessage, now: Moment) {
     let name = message.member.name.clone();
     if name == context.identity.name {
@@ -282,12 +289,12 @@
     }
     let silent_ms = context.members.borrow().silent_ms(&data_centre);
     for id in &message.loading {
-        let until = Deadline::after(now, LOADING_MS.max(silent_ms / 2));
+        let until = Deadline::after(now, MIN_LOADING_MS.max(silent_ms / 2));
         context.upstreams.borrow_mut().note_loading(id, until);
     }
-    let spoken_of = message.sent.iter().map(|sent| &sent.engine);
-    let spoken_of = spoken_of.chain(message.loaded.iter().map(|loaded| &loaded.engine));
-    spoken_of.chain(&message.loading).for_each(|id| note_start(context, id, &name));
+    let mentioned = message.sent.iter().map(|sent| &sent.engine);
+    let mentioned = mentioned.chain(message.loaded.iter().map(|loaded| &loaded.engine));
+    mentioned.chain(&message.loading).for_each(|id| note_start(context, id, &name));
     for change in message.listed {
         apply_change(context, change, ListSource::Peer(&name), now);
     }
@@ -308,14 +315,14 @@
         context.reads.borrow_mut().operator.note_skipped(since, mark.state);
     }
     apply_reads(context, message.operator, message.list);
-    for end in &message.ended {
-        apply_crash(context, end, now);
+    for crash in &message.ended {
+        apply_crash(context, crash, now);
     }
     for notice in message.cleared {
         apply_cleared(context, notice, now);
     }
-    for stop in message.stops {
-        apply_quarantine(context, stop, now);
+    for quarantine in message.stops {
+        apply_quarantine(context, quarantine, now);
     }
     if message.knows_quarantines {
         context.quarantine_sync.set(QuarantineSync { is_known: true, last_confirmed: now });
@@ -337,7 +344,8 @@
     if !message.is_continued {
         let mut shares = message.shares;
         if gets_immediate {
-            // Its prompts were told one by one; their sum would count what has been read by now.
+            // The sender's prompts already arrived one by one in immediate messages; their sum would
+            // also count tokens that have been read since.
             shares.values_mut().for_each(|share| share.waiting = TokenCount(0));
         }
         context.work.borrow_mut().note_peer(&name, shares, Deadline::after(now, silent_ms), now);
@@ -353,7 +361,7 @@
     message
         .stores
         .into_iter()
-        .for_each(|word| context.part_index.borrow_mut().note_store_update(word, now));
+        .for_each(|update| context.part_index.borrow_mut().note_store_update(update, now));
     message.speeds.iter().for_each(|speed| context.speeds.borrow_mut().note(speed));
     for link in message.slow_links {
         context.links.borrow_mut().note_from_peer(&name, link, now);
@@ -361,12 +369,12 @@
     apply_clock(context, message.clock_ms, now);
 }
 
-/// Takes in that a peer speaks of a start of an upstream: it may know before this daemon that the
-/// upstream started again. Until its entry is there, nothing more goes to the one before.
+/// Records the start of an upstream that a peer's message names. The peer may know of a restart before
+/// this daemon does; until the new entry arrives, nothing more is sent to the previous start.
 fn note_start(context: &ServeContext, id: &UpstreamId, source: &MemberName) {
     let mut upstreams = context.upstreams.borrow_mut();
-    let before = upstreams.newest_start(id.name()).and_then(|before| upstreams.entry(before));
-    let address = before.map(|before| before.address);
+    let previous = upstreams.newest_start(id.name()).and_then(|previous| upstreams.entry(previous));
+    let address = previous.map(|previous| previous.address);
     if upstreams.note_start(id) {
         address.iter().for_each(|address| context.pool.close_idle(*address));
         log_event!(
@@ -379,12 +387,12 @@
     }
 }
 
-/// Who brought a change of the list of upstreams.
+/// Where a change of the list of upstreams came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListSource<'a> {
     /// This daemon read it.
     Store,
-    /// A peer told it, and may be behind this daemon.
+    /// A peer sent it; the peer may know an older state than this daemon.
     Peer(&'a MemberName),
 }
 
@@ -397,7 +405,7 @@
     }
 }
 
-/// Takes in a change of the list of upstreams, unless a later record of the upstream is known.
+/// Applies a change of the list of upstreams, unless a later record of the upstream is known.
 pub fn apply_change(
     context: &ServeContext,
     change: ListChange,
@@ -406,39 +414,39 @@
 ) -> ListChangeEffect {
     let mut upstreams = context.upstreams.borrow_mut();
     let (name, revision) = (change.id().name(), change.revision());
-    let is_change = match source {
+    let is_admitted = match source {
         ListSource::Store => upstreams.order().admit_read(name, revision),
         ListSource::Peer(_) => upstreams.order().admit_from_peer(name, revision),
     };
-    if !is_change {
+    if !is_admitted {
         return ListChangeEffect::Same;
     }
-    let (id, found) = match change {
+    let (id, effect) = match change {
         ListChange::Removed(id, _) => {
-            let found = upstreams.note_removed(&id, now);
-            (id, found)
+            let effect = upstreams.note_removed(&id, now);
+            (id, effect)
         }
         ListChange::Entry(entry) => {
             let id = entry.id.clone();
             let address = entry.address;
-            let found = upstreams.note_entry(entry);
-            if found == ListChangeEffect::Restarted {
+            let effect = upstreams.note_entry(entry);
+            if effect == ListChangeEffect::Restarted {
                 context.pool.close_idle(address);
             }
-            (id, found)
+            (id, effect)
         }
     };
-    if found != ListChangeEffect::Same {
+    if effect != ListChangeEffect::Same {
         log_event!(
             info,
             events::LIST_CHANGED,
             upstream = id,
-            change = found.name(),
+            change = effect.name(),
             revision = revision,
             source = source
         );
     }
-    found
+    effect
 }
 
 fn apply_reads(context: &ServeContext, operator: Option<ReadMark>, list: Option<ReadMark>) {
@@ -454,16 +462,17 @@
     }
 }
 
-/// Only daemons that follow a store hear the upstreams' clock themselves.
+/// Adopts a peer's reading of the upstreams' clock if the local one is missing or stale. Only daemons
+/// that follow a store read that clock directly.
 fn apply_clock(context: &ServeContext, clock_ms: Option<u64>, now: Moment) {
     let Some(clock_ms) = clock_ms else { return };
-    let is_old = |clock: UpstreamClock| now.millis_since(clock.read) > CLOCK_EXPIRY_MS;
-    if context.upstream_clock.get().is_none_or(is_old) {
+    let is_stale = |clock: UpstreamClock| now.millis_since(clock.read) > CLOCK_EXPIRY_MS;
+    if context.upstream_clock.get().is_none_or(is_stale) {
         context.upstream_clock.set(Some(UpstreamClock { clock_ms, read: now }));
     }
 }
 
-/// Takes in that a data centre is drained, or taken back.
+/// Applies a notice that a data centre is drained, or serves again.
 pub fn apply_drain(context: &ServeContext, notice: &DrainNotice, now: Moment) {
     if context.drains.borrow_mut().note(notice, now) {
         log_event!(
@@ -475,7 +484,7 @@
     }
 }
 
-/// Takes in that weights were published by some moment at the latest.
+/// Applies the publication of weights, which happened at `learned` or earlier.
 pub fn apply_version(
     context: &ServeContext,
     model: &guava_types::ModelName,
