--- a/crates/guava-serve/tests/retry_pause.rs
+++ b/crates/guava-serve/tests/retry_pause.rs
@@ -1,4 +1,4 @@
-//! How often a store that fails is asked again.
+//! Delays between the retries of failed calls to the platform's store.
 
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
@@ -8,7 +8,7 @@
 use guava_types::Moment;
 use support::{address, serve_context};
 
-/// Calls that a daemon makes while the store refuses all of them for so long.
+/// Number of calls that a daemon makes in `millis` while the store refuses all of them.
 fn calls_in(millis: u64, is_urgent: bool) -> u64 {
     let mut retry = RetryPause::default();
     let mut at_ms = 0;
@@ -21,10 +21,10 @@
 }
 
 #[test]
-fn store_that_refuses_for_long_is_asked_ever_more_rarely() {
-    // Symptom: eight seconds in which the store refuses cost more calls than the rest of the day.
-    // Sequence: each word grows old, and each of some hundred daemons reads four times a second.
-    // Cause: the pause after a failed call was always the same.
+fn retry_delay_grows_while_the_store_refuses_calls() {
+    // Guards against a constant retry delay: the read marks become stale, and each of some hundred
+    // daemons reads four times a second, so that eight seconds of refusals cost more calls than the
+    // rest of the day.
     let urgent = calls_in(8_000, true);
     let other = calls_in(8_000, false);
 
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn one_lost_answer_is_made_up_for_at_once() {
+fn success_resets_the_retry_delay() {
     let mut retry = RetryPause::default();
     for _ in 0..5 {
         retry.after_failure(true, 0.0);
@@ -45,24 +45,24 @@
 }
 
 #[test]
-fn daemons_that_lost_the_store_together_come_back_apart() {
-    let pause = |draw| RetryPause::default().after_failure(false, draw).as_millis();
+fn retry_delays_of_daemons_that_fail_together_differ() {
+    let delay = |draw| RetryPause::default().after_failure(false, draw).as_millis();
 
-    assert!(pause(0.9) > pause(0.1));
+    assert!(delay(0.9) > delay(0.1));
 }
 
 #[test]
-fn daemon_without_a_configuration_asks_often_whatever_its_turn() {
+fn reads_of_a_daemon_without_a_configuration_are_urgent_at_any_rank() {
     let context = serve_context("d1");
-    for place in 0..100 {
-        let note = MemberDescriptor {
-            name: format!("other{place}").parse().unwrap(),
+    for number in 0..100 {
+        let member = MemberDescriptor {
+            name: format!("other{number}").parse().unwrap(),
             data_centre: "east".parse().unwrap(),
-            peer_address: address(place),
-            caller_address: address(place),
+            peer_address: address(number),
+            caller_address: address(number),
             is_ready: true,
         };
-        context.members.borrow_mut().note_from_peer(note, Moment::now());
+        context.members.borrow_mut().note_from_peer(member, Moment::now());
     }
     context.members.borrow_mut().note_listed();
     let name = &context.identity.name;
