--- a/crates/guava-serve/src/members/peer_exchange.rs
+++ b/crates/guava-serve/src/members/peer_exchange.rs
@@ -56,7 +56,8 @@
     pub number: u64,
 }
 
-/// Composes the next summary for the peers. Empties the list of sent prompts, so each is reported once.
+/// Composes the next summary for the peers. It takes the list of sent prompts, so that each is
+/// reported once.
 pub fn compose_message(context: &ServeContext, summary: OwnSummary, now: Moment) -> PeerMessage {
     let work = context.work.borrow();
     let shares = work.own_shares().map(|(id, share)| (id.clone(), share)).collect();
