--- a/crates/guava-serve/tests/peer_exchange.rs
+++ b/crates/guava-serve/tests/peer_exchange.rs
@@ -1,4 +1,4 @@
-//! What one daemon says and another takes from it.
+//! Messages between daemons: what the sender composes, and what the receiver applies.
 
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
@@ -18,7 +18,7 @@
 
 const NOW: Moment = Moment(100_000);
 
-/// A long prompt that was sent to an engine, of which it must read 12,000 tokens.
+/// A long prompt that was sent to an engine and has 12,000 tokens left to read there.
 fn long_prompt(engine: UpstreamId) -> SentPrompt {
     SentPrompt {
         engine,
@@ -32,34 +32,34 @@
     }
 }
 
-/// Makes a daemon that knows the others' records one that stands by to read the store.
-fn behind_another(context: &ServeContext) {
+/// Makes a daemon that knows the others' records a standby: adds peers until one of them is the reader.
+fn make_standby(context: &ServeContext) {
     context.members.borrow_mut().note_listed();
     let name = &context.identity.name;
-    for place in 0.. {
+    for number in 0.. {
         if context.members.borrow().reader_rank(name, NOW) > 0 {
             return;
         }
-        context.members.borrow_mut().note_from_peer(note(&format!("other{place}")), NOW);
+        context.members.borrow_mut().note_from_peer(note(&format!("other{number}")), NOW);
     }
 }
 
-/// Passes a message on as bytes.
-fn pass(message: &PeerMessage, to: &ServeContext) {
+/// Delivers a message to a daemon, encoded and decoded.
+fn deliver(message: &PeerMessage, to: &ServeContext) {
     let received = PeerMessage::decode(&message.encode(NOW), NOW).unwrap();
     apply_message(to, received, NOW);
 }
 
 #[test]
-fn prompt_is_known_to_peers_before_the_next_message() {
-    // Symptom: heavy prompts arrive late though most engines are idle.
-    // Sequence: two daemons choose an engine within a quarter of a second; both take the same.
-    // Cause: a daemon's work was told only with its next message.
+fn sent_prompt_is_known_to_peers_before_the_next_summary() {
+    // Guards against late long prompts while most engines are idle: if a daemon's work were reported
+    // only in its next summary, two daemons that choose an engine within a quarter of a second would
+    // choose the same one.
     let (one, two) = (serve_context("d1"), serve_context("d2"));
-    pass(&compose_message(&one, news("d1"), NOW), &two);
+    deliver(&compose_message(&one, news("d1"), NOW), &two);
     one.just_sent.borrow_mut().push(long_prompt(id("e")));
 
-    pass(&compose_immediate(&one, note("d1")).unwrap(), &two);
+    deliver(&compose_immediate(&one, note("d1")).unwrap(), &two);
 
     assert_eq!(two.work.borrow().total(&id("e")).waiting, TokenCount(12_000));
     assert!(two.work.borrow().wait_ms(&id("e"), 3, NOW) > 100.0);
@@ -67,12 +67,11 @@
 }
 
 #[test]
-fn part_that_a_peer_has_just_sent_is_neither_saved_again_nor_unknown() {
-    // Symptom: on a quiet day 3 million tokens were read twice within two seconds.
-    // Sequence: a shared part is read for the first time; before its store reports it, another
-    // daemon gets a request with it, and has it read on another engine.
-    // Cause: which parts a prompt has was told only with the next message, and to other data
-    // centres not at all.
+fn part_in_a_prompt_just_sent_by_a_peer_is_known_and_not_saved_again() {
+    // Guards against reading a shared part twice: before the part's store reports it, another daemon
+    // receives a request with the same part and sends it to another engine. This happened when the
+    // parts of a prompt were reported only in the next summary, and never to other data centres;
+    // 3 million tokens were read twice within two seconds at low load.
     let (one, two) = (serve_context("d1"), serve_context("d2"));
     let key = PartKey::new("m0/1", "p");
     let sent = SentPrompt {
@@ -87,12 +86,12 @@
     };
     one.just_sent.borrow_mut().push(sent.clone());
     one.just_sent.borrow_mut().push(SentPrompt { is_for_all: false, ..sent });
-    let note = compose_immediate(&one, note("d1")).unwrap();
-    let far = note.message_for_relay(|sent| sent.is_for_all).unwrap();
+    let message = compose_immediate(&one, note("d1")).unwrap();
+    let relay_message = message.message_for_relay(|sent| sent.is_for_all).unwrap();
 
-    pass(&far.clone().relayed(), &two);
+    deliver(&relay_message.clone().relayed(), &two);
 
-    assert_eq!(far.sent.len(), 1);
+    assert_eq!(relay_message.sent.len(), 1);
     let memory = TokenCount(70_000);
     let shared = part("p", 12_800);
     let stores = vec![store("s1", 1)];
@@ -104,22 +103,22 @@
 }
 
 #[test]
-fn engines_that_will_load_are_known_before_they_refuse() {
+fn engine_about_to_load_is_known_to_peers_before_it_refuses() {
     let (one, two) = (serve_context("d1"), serve_context("d2"));
     two.upstreams.borrow_mut().note_entry(engine("e", 1));
     one.just_loading.borrow_mut().push(id("e"));
 
-    pass(&compose_immediate(&one, note("d1")).unwrap(), &two);
+    deliver(&compose_immediate(&one, note("d1")).unwrap(), &two);
 
     assert!(two.upstreams.borrow().is_loading(&id("e"), NOW));
 }
 
 #[test]
-fn publication_keeps_its_age_from_daemon_to_daemon() {
+fn publication_keeps_its_age_when_a_peer_reports_it() {
     let (one, two) = (serve_context("d1"), serve_context("d2"));
     one.targets.borrow_mut().offer(&model(), WeightVersion(2), Moment(NOW.0 - 7_000));
 
-    pass(&compose_message(&one, news("d1"), NOW), &two);
+    deliver(&compose_message(&one, news("d1"), NOW), &two);
 
     let target = two.targets.borrow().target(&model()).unwrap();
     assert_eq!(target.learned, Moment(NOW.0 - 7_000));
@@ -127,9 +126,8 @@
 
 #[test]
 fn change_of_the_list_and_its_digest_arrive_together() {
-    // Symptom: each change of the list makes all daemons read it at the same moment.
-    // Sequence: the reader's digest changes, and the others' do not.
-    // Cause: only the digest was told.
+    // Guards against all daemons reading the list at the same moment after each change: if the reader
+    // sent only its new digest, it would differ from the digests of all others.
     let (reader, other) = (serve_context("d1"), serve_context("d2"));
     for context in [&reader, &other] {
         context.upstreams.borrow_mut().note_entry(upstream("a", "app"));
@@ -145,33 +143,37 @@
     let digest = reader.upstreams.borrow().digest();
     reader.reads.borrow_mut().list.note_own(digest, NOW);
 
-    pass(&compose_message(&reader, news("d1"), NOW), &other);
+    deliver(&compose_message(&reader, news("d1"), NOW), &other);
 
     assert!(!other.upstreams.borrow().may_send(&id("a")));
     let digest = other.upstreams.borrow().digest();
-    let mut announcements = other.reads.borrow_mut();
-    announcements.list.note_state(digest);
-    assert_eq!(announcements.list.confirmed(), Some(NOW));
+    let mut reads = other.reads.borrow_mut();
+    reads.list.note_state(digest);
+    assert_eq!(reads.list.confirmed(), Some(NOW));
 }
 
 #[test]
-fn message_for_other_data_centres_leaves_out_what_they_read_themselves() {
+fn message_for_relay_omits_list_changes_stores_and_prompts() {
+    // The other data centres read these themselves.
     let one = serve_context("d1");
     one.list_change_gossip.borrow_mut().note(ListChange::Removed(id("a"), ListRevision(7)), NOW);
     let message = compose_message(&one, news("d1"), NOW);
     assert_eq!(message.listed.len(), 1);
 
-    let far = message.for_relay();
+    let relay_message = message.for_relay();
 
-    assert!(far.listed.is_empty() && far.stores.is_empty() && far.sent.is_empty());
+    assert!(
+        relay_message.listed.is_empty()
+            && relay_message.stores.is_empty()
+            && relay_message.sent.is_empty()
+    );
 }
 
 #[test]
-fn message_that_a_suspended_relay_passes_on_confirms_nothing() {
-    // Symptom: a daemon serves by an old configuration that it takes for confirmed.
-    // Sequence: a relay is suspended with a message in its socket's buffer, and passes it on
-    // seconds later.
-    // Cause: ages are taken from the moment of arrival, and the wait at the relay is not in them.
+fn relayed_message_confirms_no_reads() {
+    // Guards against a stale configuration that a daemon regards as confirmed: a relay is suspended
+    // with a message in its socket's buffer and forwards it seconds later. Ages count from the moment
+    // of arrival and don't include the wait at the relay.
     let (one, two) = (serve_context("d1"), serve_context("d2"));
     one.reads.borrow_mut().operator.note_own(12, NOW);
     one.reads.borrow_mut().list.note_own(13, NOW);
@@ -181,15 +183,15 @@
     two.reads.borrow_mut().operator.note_own(12, read);
     two.reads.borrow_mut().list.note_own(13, read);
 
-    pass(&message.for_relay().relayed(), &two);
+    deliver(&message.for_relay().relayed(), &two);
 
     assert_eq!(two.reads.borrow().operator.confirmed(), Some(read));
     assert_eq!(two.reads.borrow().list.confirmed(), Some(read));
 }
 
 #[test]
-fn message_is_passed_on_once() {
-    // Symptom: daemons of a data centre send each other the same message for ever.
+fn message_is_relayed_once() {
+    // Guards against daemons of a data centre that relay the same message to each other endlessly.
     let one = serve_context("d1");
 
     let received = compose_message(&one, news("d1"), NOW).for_relay();
@@ -199,27 +201,27 @@
 }
 
 #[test]
-fn own_message_that_comes_back_is_passed_over() {
+fn own_message_is_ignored_when_received() {
     let one = serve_context("d1");
     let mut message = compose_message(&one, news("d1"), NOW);
     message.list = Some(ReadMark { state: 1, as_of: NOW });
 
-    pass(&message, &one);
+    deliver(&message, &one);
 
     assert_eq!(one.members.borrow().count(), 1);
 }
 
 #[test]
-fn changes_are_told_for_a_while_only() {
-    let mut news = ListChangeGossip::default();
-    news.note(ListChange::Removed(id("a"), ListRevision(7)), NOW);
+fn list_changes_are_sent_for_a_limited_time() {
+    let mut gossip = ListChangeGossip::default();
+    gossip.note(ListChange::Removed(id("a"), ListRevision(7)), NOW);
 
-    assert_eq!(news.told(Moment(NOW.0 + 1_000)).len(), 1);
-    assert_eq!(news.told(Moment(NOW.0 + 1_300)).len(), 0);
+    assert_eq!(gossip.told(Moment(NOW.0 + 1_000)).len(), 1);
+    assert_eq!(gossip.told(Moment(NOW.0 + 1_300)).len(), 0);
 }
 
 #[test]
-fn vm_is_one_lease_holder_whichever_process_runs_on_it() {
+fn vm_is_the_same_lease_holder_for_every_process_on_it() {
     let identity = |name: &str, source: &str| ServeIdentity {
         name: name.parse().unwrap(),
         data_centre: "east".parse().unwrap(),
@@ -234,42 +236,41 @@
 }
 
 #[test]
-fn peers_word_on_a_new_start_ends_work_for_the_one_before() {
-    // Symptom: prompts are sent by the cached parts and weights of an engine that has crashed.
-    // Sequence: the engine starts again under its name; a peer knows and sends it a prompt; this
-    // daemon hears of that before it reads the list.
-    // Cause: the peer's word was taken for one on the start known here.
+fn start_reported_by_a_peer_closes_the_previous_start() {
+    // Guards against prompts that are routed by the cached parts and weights of a crashed engine: the
+    // engine restarts under its name, a peer knows and sends it a prompt, and this daemon receives
+    // the report previous it reads the list. The report must not be applied to the previous start.
     let (one, two) = (serve_context("d1"), serve_context("d2"));
     let entry = engine("e", 1);
-    let before = UpstreamEntry { id: entry.id.started_at(100), ..entry.clone() };
-    let after = UpstreamEntry { id: entry.id.started_at(200), ..entry };
-    two.upstreams.borrow_mut().note_entry(before.clone());
-    one.just_sent.borrow_mut().push(long_prompt(after.id.clone()));
+    let previous = UpstreamEntry { id: entry.id.started_at(100), ..entry.clone() };
+    let restarted = UpstreamEntry { id: entry.id.started_at(200), ..entry };
+    two.upstreams.borrow_mut().note_entry(previous.clone());
+    one.just_sent.borrow_mut().push(long_prompt(restarted.id.clone()));
 
-    pass(&compose_immediate(&one, note("d1")).unwrap(), &two);
+    deliver(&compose_immediate(&one, note("d1")).unwrap(), &two);
 
-    assert!(!two.upstreams.borrow().may_send(&before.id));
+    assert!(!two.upstreams.borrow().may_send(&previous.id));
     let late = apply_change(
         &two,
-        ListChange::Entry(before),
+        ListChange::Entry(previous),
         ListSource::Peer(&"d1".parse().unwrap()),
         NOW,
     );
     assert_eq!(late, ListChangeEffect::Same);
     apply_change(
         &two,
-        ListChange::Entry(after.clone()),
+        ListChange::Entry(restarted.clone()),
         ListSource::Peer(&"d1".parse().unwrap()),
         NOW,
     );
-    assert!(two.upstreams.borrow().may_send(&after.id));
+    assert!(two.upstreams.borrow().may_send(&restarted.id));
 }
 
 #[test]
-fn slow_link_that_two_daemons_notice_is_known_to_the_others() {
-    // Symptom: after some daemons have noticed a slow link, the prompts of the others are late on it.
-    // Sequence: each daemon fetches from the store twice a second, and needs a few late fetches.
-    // Cause: each learnt for itself.
+fn slow_link_reported_by_two_daemons_is_slow_for_the_others() {
+    // Guards against late prompts at daemons that have not measured a slow link yet: each daemon
+    // fetches from the store twice a second and needs a few late fetches, so the daemons share what
+    // they measure.
     let (one, two, three) = (serve_context("d1"), serve_context("d2"), serve_context("d3"));
     let store = address(5);
     let wait = FetchWait { stores: vec![store], expected_ms: 50.0, other_ms: 40.0 };
@@ -280,90 +281,84 @@
         }
     }
 
-    pass(&compose_message(&one, news("d1"), NOW), &three);
+    deliver(&compose_message(&one, news("d1"), NOW), &three);
     let by_one = three.links.borrow().slowness(store, NOW);
-    pass(&compose_message(&two, news("d2"), NOW), &three);
+    deliver(&compose_message(&two, news("d2"), NOW), &three);
 
     assert!(one.links.borrow().slowness(store, NOW) > 5.0);
-    assert!(by_one < 1.01, "one daemon may be wrong");
-    let told = three.links.borrow();
-    assert!(told.slowness(store, NOW) > 5.0);
-    assert!(told.slow_links(NOW).is_empty());
-    assert!(told.slowness(store, Moment(NOW.0 + 1_000)) < 1.01);
+    assert!(by_one < 1.01, "a report of one daemon must not suffice");
+    let links = three.links.borrow();
+    assert!(links.slowness(store, NOW) > 5.0);
+    assert!(links.slow_links(NOW).is_empty());
+    assert!(links.slowness(store, Moment(NOW.0 + 1_000)) < 1.01);
 }
 
 #[test]
-fn words_of_the_reader_reach_daemons_of_all_data_centres_with_their_age() {
-    // Symptom: five data centres pay for five readers of the same records.
-    // Sequence: words on the store have an age that counts and can't be relayed, so each data centre
-    // had a reader of its own.
-    // Cause: the reader told only those near it.
-    let (reader, far) = (serve_context("d1"), serve_context("d2"));
-    far.reads.borrow_mut().operator.note_own(12, Moment(NOW.0 - 2_000));
+fn read_marks_reach_daemons_of_all_data_centres_with_their_age() {
+    // Guards against five data centres that pay for five readers of the same records. Read marks can't
+    // be relayed, because their age matters; when the reader sent them only within its data centre,
+    // each data centre needed its own reader.
+    let (reader, remote) = (serve_context("d1"), serve_context("d2"));
+    remote.reads.borrow_mut().operator.note_own(12, Moment(NOW.0 - 2_000));
     reader.reads.borrow_mut().operator.note_own(12, Moment(NOW.0 - 300));
     reader.members.borrow_mut().note_listed();
 
-    compose_reads(&reader, &note("d1"), NOW)
-        .iter()
-        .for_each(|announcements| pass(announcements, &far));
+    compose_reads(&reader, &note("d1"), NOW).iter().for_each(|message| deliver(message, &remote));
 
-    let announcements = far.reads.borrow();
-    assert_eq!(announcements.operator.confirmed(), Some(Moment(NOW.0 - 300)));
-    drop(announcements);
-    behind_another(&far);
-    assert!(compose_reads(&far, &note("d2"), NOW).is_empty(), "its own word is older");
+    let reads = remote.reads.borrow();
+    assert_eq!(reads.operator.confirmed(), Some(Moment(NOW.0 - 300)));
+    drop(reads);
+    make_standby(&remote);
+    assert!(compose_reads(&remote, &note("d2"), NOW).is_empty(), "its own read mark is older");
 }
 
 #[test]
-fn words_leave_what_a_daemon_said_before_of_its_work() {
+fn read_marks_keep_the_work_that_the_sender_reported_before() {
     let (one, two) = (serve_context("d1"), serve_context("d2"));
     let share = WorkShare { waiting: TokenCount(5), memory: TokenCount(6), running: 2 };
     let mut message = compose_message(&one, news("d1"), NOW);
     message.shares.insert(id("e"), share);
-    pass(&message, &two);
+    deliver(&message, &two);
     one.reads.borrow_mut().operator.note_own(12, NOW);
     one.members.borrow_mut().note_listed();
 
-    compose_reads(&one, &note("d1"), NOW)
-        .iter()
-        .for_each(|announcements| pass(announcements, &two));
+    compose_reads(&one, &note("d1"), NOW).iter().for_each(|message| deliver(message, &two));
 
     assert_eq!(two.work.borrow().total(&id("e")).running, 2);
 }
 
 #[test]
-fn daemons_that_come_far_behind_in_turn_tell_no_words() {
+fn daemons_ranked_after_the_standbys_send_no_read_marks() {
     let one = serve_context("d1");
     one.reads.borrow_mut().operator.note_own(12, NOW);
-    for place in 0..100 {
-        one.members.borrow_mut().note_from_peer(note(&format!("other{place}")), NOW);
+    for number in 0..100 {
+        one.members.borrow_mut().note_from_peer(note(&format!("other{number}")), NOW);
     }
     one.members.borrow_mut().note_listed();
-    let turn = one.members.borrow().reader_rank(&one.identity.name, NOW);
-    assert!(turn > STANDBYS, "{turn}");
+    let rank = one.members.borrow().reader_rank(&one.identity.name, NOW);
+    assert!(rank > STANDBYS, "{rank}");
 
     assert!(compose_reads(&one, &note("d1"), NOW).is_empty());
 }
 
 #[test]
-fn prompt_for_an_engine_elsewhere_concerns_its_data_centre() {
+fn prompt_for_a_remote_engine_is_relayed_to_its_data_centre() {
     let one = serve_context("d1");
     one.just_sent.borrow_mut().push(long_prompt(id("e")));
-    let note = compose_immediate(&one, note("d1")).unwrap();
+    let message = compose_immediate(&one, note("d1")).unwrap();
 
-    let concerned = note.message_for_relay(|sent| sent.engine == id("e"));
-    let other = note.message_for_relay(|sent| sent.engine == id("f"));
+    let concerned = message.message_for_relay(|sent| sent.engine == id("e"));
+    let other = message.message_for_relay(|sent| sent.engine == id("f"));
 
-    assert!(concerned.is_some_and(|far| far.is_for_relay && far.sent.len() == 1));
+    assert!(concerned.is_some_and(|relayed| relayed.is_for_relay && relayed.sent.len() == 1));
     assert!(other.is_none());
 }
 
 #[test]
-fn many_changes_at_once_spare_the_others_a_read_of_the_list() {
-    // Symptom: 295 daemons read the list three times when a fleet starts.
-    // Sequence: some hundred upstreams are listed within a second; the reader tells what one datagram
-    // holds, and the digest of them all.
-    // Cause: changes beyond that were forgotten, and the digest differed at all others.
+fn many_simultaneous_changes_are_sent_with_their_digest() {
+    // Guards against daemons that all read the list again when a fleet starts (295 daemons read it
+    // three times): some hundred upstreams are listed within a second. When the reader sent only the
+    // changes that fit into one datagram, with the digest of all, the digest differed at every peer.
     let (reader, other) = (serve_context("d1"), serve_context("d2"));
     reader.members.borrow_mut().note_listed();
     for context in [&reader, &other] {
@@ -379,15 +374,11 @@
     reader.reads.borrow_mut().list.note_own(digest, NOW);
 
     let summary = compose_message(&reader, news("d1"), NOW);
-    let announcements = compose_reads(&reader, &note("d1"), NOW);
-    announcements.iter().for_each(|announcements| pass(announcements, &other));
+    let messages = compose_reads(&reader, &note("d1"), NOW);
+    messages.iter().for_each(|message| deliver(message, &other));
 
     assert!(summary.list.is_none() && summary.listed.is_empty());
-    assert!(
-        announcements
-            .iter()
-            .all(|announcements| announcements.encode(NOW).len() <= MAX_DATAGRAM_BYTES)
-    );
+    assert!(messages.iter().all(|message| message.encode(NOW).len() <= MAX_DATAGRAM_BYTES));
     assert_eq!(other.upstreams.borrow().digest(), digest);
     let mut known = other.reads.borrow_mut();
     known.list.note_state(digest);
@@ -395,12 +386,12 @@
 }
 
 #[test]
-fn publication_that_the_reader_tells_spares_the_others_a_read() {
-    // Symptom: each publication of weights costs as many calls to the store as there are daemons.
-    // Sequence: the reader's offset grows by a publication; its words tell the offset and the weights.
-    // Cause: what had come between the offsets was not told.
+fn publication_sent_by_the_reader_saves_the_others_a_read() {
+    // Guards against a call to the store by every daemon for each publication of weights: the reader's
+    // offset grows by the publication, and it sends the offset and the weights. Without the offset
+    // from which only publications followed, the others can't know what lies between the offsets.
     let pace = ReadPace::within(4_000);
-    let other_turn = STANDBYS + 1;
+    let other_rank = STANDBYS + 1;
     let (reader, other) = (serve_context("d1"), serve_context("d2"));
     reader.members.borrow_mut().note_listed();
     for context in [&reader, &other] {
@@ -410,23 +401,20 @@
     reader.reads.borrow_mut().operator.note_own(13, NOW);
     reader.reads.borrow_mut().published_since = Some(12);
 
-    compose_reads(&reader, &note("d1"), NOW)
-        .iter()
-        .for_each(|announcements| pass(announcements, &other));
+    compose_reads(&reader, &note("d1"), NOW).iter().for_each(|message| deliver(message, &other));
 
     let target = other.targets.borrow().target(&model()).unwrap();
     assert_eq!((target.version, target.learned), (WeightVersion(2), Moment(NOW.0 - 20)));
     let operator = other.reads.borrow().operator;
     assert_eq!(operator.confirmed(), Some(NOW));
-    assert!(!operator.is_due(other_turn, pace, Moment(NOW.0 + 10)));
+    assert!(!operator.is_due(other_rank, pace, Moment(NOW.0 + 10)));
 }
 
 #[test]
-fn daemon_that_missed_a_configuration_before_a_publication_reads_it() {
-    // Symptom: a daemon serves by an old configuration for the rest of its life.
-    // Sequence: a configuration is written, then weights are published; the daemon hears only of the
-    // latter, and takes the offset after both for its own.
-    // Cause: that only publications came was true for whoever had read the configuration.
+fn daemon_that_missed_a_configuration_before_a_publication_reads_the_store() {
+    // Guards against a daemon that keeps a stale configuration until it exits: a configuration is
+    // written, then weights are published. The daemon receives only the publication and adopts the
+    // offset after both, although only daemons that read the configuration missed nothing else.
     let pace = ReadPace::within(4_000);
     let (reader, other) = (serve_context("d1"), serve_context("d2"));
     reader.members.borrow_mut().note_listed();
@@ -434,9 +422,7 @@
     reader.reads.borrow_mut().operator.note_own(13, NOW);
     reader.reads.borrow_mut().published_since = Some(12);
 
-    compose_reads(&reader, &note("d1"), NOW)
-        .iter()
-        .for_each(|announcements| pass(announcements, &other));
+    compose_reads(&reader, &note("d1"), NOW).iter().for_each(|message| deliver(message, &other));
 
     let operator = other.reads.borrow().operator;
     assert_eq!(operator.own().unwrap().state, 11);
@@ -444,78 +430,78 @@
 }
 
 #[test]
-fn daemon_that_starts_is_told_at_once_what_stores_hold() {
-    // Symptom: while VMs are restarted in turn, parts that lie in stores are read again.
-    // Sequence: a daemon starts, reads the others' records, and leaves each store to one of them; what
-    // the store holds it is told whole only every ten messages, three seconds apart.
-    // Cause: nobody told a daemon that was new what had been told to all before.
-    let (follower, newcomer) = (serve_context("d1"), serve_context("d2"));
+fn new_peer_receives_the_contents_of_stores_at_once() {
+    // Guards against parts that engines read again although stores hold them, while VMs are restarted
+    // one after another: a daemon starts, reads the others' records and leaves each store to one of
+    // them. Full updates come only with every tenth summary, three seconds apart, so without an
+    // initial sync a new peer would lack what was sent before.
+    let (follower, new_peer) = (serve_context("d1"), serve_context("d2"));
     let store = store("s1", 1);
     let held = HeldPart { salt: "m0/1".into(), id: "p".into(), tokens: TokenCount(9_000) };
     follower.part_index.borrow_mut().note_list(store.address, 7, vec![held], NOW);
-    let mut news = news("d1");
-    news.followed = vec![store.address];
-    drop(compose_message(&follower, OwnSummary { number: 1, ..news.clone() }, NOW));
+    let mut summary = news("d1");
+    summary.followed = vec![store.address];
+    drop(compose_message(&follower, OwnSummary { number: 1, ..summary.clone() }, NOW));
 
-    pass(&compose_message(&newcomer, self::news("d2"), NOW), &follower);
-    let greeted = std::mem::take(&mut *follower.new_peers.borrow_mut());
-    compose_initial_sync(&follower, &news, NOW).iter().for_each(|message| pass(message, &newcomer));
-    pass(&compose_message(&newcomer, self::news("d2"), NOW), &follower);
+    deliver(&compose_message(&new_peer, self::news("d2"), NOW), &follower);
+    let synced = std::mem::take(&mut *follower.new_peers.borrow_mut());
+    compose_initial_sync(&follower, &summary, NOW)
+        .iter()
+        .for_each(|message| deliver(message, &new_peer));
+    deliver(&compose_message(&new_peer, self::news("d2"), NOW), &follower);
 
-    assert_eq!(greeted, [address(1)]);
-    assert!(follower.new_peers.borrow().is_empty(), "it is greeted once");
+    assert_eq!(synced, [address(1)]);
+    assert!(follower.new_peers.borrow().is_empty(), "it is synced once");
     let stores = vec![store];
-    let index = newcomer.part_index.borrow();
+    let index = new_peer.part_index.borrow();
     assert!(index.holder(&stores, "m0/1", &part("p", 9_000), NOW).is_some());
 }
 
 #[test]
-fn greeting_leaves_to_all_others_what_is_new() {
+fn initial_sync_keeps_changes_for_the_next_summary() {
     let follower = serve_context("d1");
     let store = store("s1", 1);
     let held = HeldPart { salt: "m0/1".into(), id: "p".into(), tokens: TokenCount(9_000) };
     follower.part_index.borrow_mut().note_list(store.address, 7, vec![held], NOW);
-    let mut news = news("d1");
-    news.followed = vec![store.address];
+    let mut summary = news("d1");
+    summary.followed = vec![store.address];
 
-    drop(compose_initial_sync(&follower, &news, NOW));
+    drop(compose_initial_sync(&follower, &summary, NOW));
 
-    assert_eq!(compose_message(&follower, news, NOW).stores[0].parts.len(), 1);
+    assert_eq!(compose_message(&follower, summary, NOW).stores[0].parts.len(), 1);
 }
 
 #[test]
-fn reader_goes_on_telling_when_others_have_read_for_themselves() {
-    // Symptom: for five seconds after a fleet started, and whenever one daemon was cut off, two or
-    // three hundred daemons read the list of upstreams every other second.
-    // Sequence: some daemons read for themselves, later than the reader; it hears of that, and says
-    // nothing of its older word until it has read again; the others wait for it, and read.
-    // Cause: the reader told only what was the freshest word that it knew.
+fn reader_sends_its_mark_even_when_a_peer_has_a_fresher_one() {
+    // Guards against two or three hundred daemons that read the list of upstreams every other second,
+    // as seen for five seconds after a fleet started and whenever one daemon was isolated. Some daemons
+    // read later than the reader does. When the reader sent its mark only if it knew of no fresher
+    // one, it sent nothing until its next read; the others waited for it and then read themselves.
     let reader = serve_context("d1");
     reader.members.borrow_mut().note_listed();
     reader.reads.borrow_mut().list.note_own(7, Moment(NOW.0 - 900));
     let later = ReadMark { state: 7, as_of: Moment(NOW.0 - 100) };
     reader.reads.borrow_mut().list.note_from_peer(later);
 
-    let announcements = compose_reads(&reader, &note("d1"), NOW);
+    let messages = compose_reads(&reader, &note("d1"), NOW);
 
-    assert_eq!(announcements[0].list.map(|word| word.as_of), Some(Moment(NOW.0 - 900)));
+    assert_eq!(messages[0].list.map(|mark| mark.as_of), Some(Moment(NOW.0 - 900)));
 }
 
-/// An engine's entry with weights, as a record of the list.
+/// A record of the list: the entry of an engine with a weight version, at a revision.
 fn engine_record(version: u64, revision: u64) -> ListChange {
     ListChange::Entry(UpstreamEntry { revision: ListRevision(revision), ..engine("e", version) })
 }
 
 #[test]
-fn entry_that_a_peer_tells_late_does_not_bring_a_removed_upstream_back() {
-    // Users saw requests reach upstreams that had left some seconds before.
-    // Two daemons read the list, one of them a moment later: it finds new weights at an engine, and
-    // tells them for a second; the other has read by then that the engine is removed. It took the
-    // engine in again, and no later read took it away, since a read returns only later records.
-    // Cause: changes of the list had no order, neither those that daemons tell each other nor those
-    // that a daemon reads after it was told later ones.
-    // Evidence: at a daemon that sent an engine work 3.6 s after it left, the log has "gone", "added",
-    // "gone", "added", "gone", "added" for it within 0.9 s, and the send 2.6 s later.
+fn late_entry_from_a_peer_does_not_restore_a_removed_upstream() {
+    // Guards against requests that are sent to upstreams which left seconds ago, as users saw. One
+    // daemon reads new weights of an engine and sends that change for a second; by then another has
+    // read that the engine is removed. Without an order of list changes, both between peers and for a
+    // read after later changes from peers, the second daemon added the engine again, and no later read
+    // removed it, since a read returns only later records. At a daemon that sent an engine work 3.6 s
+    // after it left, the log had "gone", "added" three times for it within 0.9 s, and the send 2.6 s
+    // later.
     let (behind, ahead) = (serve_context("d1"), serve_context("d2"));
     for context in [&behind, &ahead] {
         apply_change(context, engine_record(1, 10), ListSource::Store, NOW);
@@ -527,35 +513,34 @@
     let removed = ListChange::Removed(id("e"), ListRevision(12));
     apply_change(&ahead, removed, ListSource::Store, NOW);
     ahead.upstreams.borrow_mut().order().note_position(ListRevision(13));
-    pass(&compose_message(&behind, news("d1"), NOW), &ahead);
+    deliver(&compose_message(&behind, news("d1"), NOW), &ahead);
 
     assert!(!ahead.upstreams.borrow().may_send(&id("e")));
 }
 
 #[test]
-fn changes_that_peers_tell_count_in_the_order_of_the_list() {
-    // Guards against an upstream that is taken in again since datagrams overtook each other.
+fn changes_from_peers_are_applied_in_the_order_of_the_list() {
+    // Guards against a removed upstream that is added again because datagrams arrived out of order.
     let one = serve_context("d1");
-    let teller = "d2".parse().unwrap();
-    let told = |change| apply_change(&one, change, ListSource::Peer(&teller), NOW);
+    let sender = "d2".parse().unwrap();
+    let apply = |change| apply_change(&one, change, ListSource::Peer(&sender), NOW);
 
-    let removed = told(ListChange::Removed(id("e"), ListRevision(12)));
-    let late = told(engine_record(2, 11));
-    let back = told(engine_record(1, 15));
+    let removed = apply(ListChange::Removed(id("e"), ListRevision(12)));
+    let late = apply(engine_record(2, 11));
+    let readded = apply(engine_record(1, 15));
 
     assert_eq!(
-        (removed, late, back),
+        (removed, late, readded),
         (ListChangeEffect::Same, ListChangeEffect::Same, ListChangeEffect::Added)
     );
 }
 
 #[test]
-fn message_of_a_daemon_before_many_engines_fits_into_a_datagram() {
-    // Users saw requests reach upstreams that had left some seconds before.
-    // Before 90 engines a daemon's summary grows longer than its receivers take; they cut it, can't
-    // read it, and hear nothing of its work, of engines' weights and of the list.
-    // Cause: a message was bounded by the number of some of its items, and not by its length.
-    // Evidence: 11,256 bytes, of which receivers take 8,192.
+fn summary_of_a_daemon_with_many_engines_fits_into_datagrams() {
+    // Guards against requests that are sent to upstreams which left seconds ago, as users saw. With 90
+    // engines a summary took 11,256 bytes, of which receivers accept 8,192. They truncated it, could
+    // not decode it, and learnt nothing of the sender's work, of engines' weights and of the list. A
+    // message was bounded by the number of some of its items, not by its length.
     let (one, two) = (serve_context("d1"), serve_context("d2"));
     let now = Moment::now();
     for number in 0..90 {
@@ -579,27 +564,27 @@
         one.list_change_gossip.borrow_mut().note(change, now);
     }
 
-    let told = datagrams(&compose_message(&one, news("d1"), now), now);
-    for bytes in &told {
+    let encoded = datagrams(&compose_message(&one, news("d1"), now), now);
+    for bytes in &encoded {
         assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{}", bytes.len());
         apply_message(&two, PeerMessage::decode(bytes, now).unwrap(), now);
     }
 
-    assert!(told.len() <= 3, "{}", told.len());
+    assert!(encoded.len() <= 3, "{}", encoded.len());
     let last = id("i-0000001f");
-    assert_eq!(PeerMessage::decode(&told[0], now).unwrap().shares.len(), 90);
+    assert_eq!(PeerMessage::decode(&encoded[0], now).unwrap().shares.len(), 90);
     assert_eq!(two.speeds.borrow().rate(&last), Some(TokenRate(48_200)));
     assert!(two.upstreams.borrow().may_send(&id("i-00000027")));
 }
 
 #[test]
-fn own_read_does_not_bring_back_what_a_peer_told_to_be_removed() {
-    // Guards against a daemon that reads its backlog after it was told the newest records.
+fn own_read_does_not_restore_an_upstream_that_a_peer_reported_removed() {
+    // Guards against older records that a daemon reads after a peer sent it the newest ones.
     let one = serve_context("d1");
-    let teller = "d2".parse().unwrap();
+    let sender = "d2".parse().unwrap();
     apply_change(&one, engine_record(1, 10), ListSource::Store, NOW);
     let removed = ListChange::Removed(id("e"), ListRevision(30));
-    apply_change(&one, removed, ListSource::Peer(&teller), NOW);
+    apply_change(&one, removed, ListSource::Peer(&sender), NOW);
 
     let read = apply_change(&one, engine_record(1, 20), ListSource::Store, NOW);
 
