--- a/crates/guava-serve/src/request/accepted_request.rs
+++ b/crates/guava-serve/src/request/accepted_request.rs
@@ -1,4 +1,4 @@
-//! A request that was read whole, authenticated and given a route.
+//! A request that was read completely, authenticated and matched to a route.
 
 use crate::serve_config::{CallerIdentity, RouteRule};
 use bytes::Bytes;
@@ -6,72 +6,72 @@
 use http::{HeaderMap, Method, Uri};
 use std::rc::Rc;
 
-/// One part of a prompt, in the caller's order; requests share parts.
+/// One prompt part. Different requests may share a part, identified by its id.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Its id as the caller gives it.
+    /// Id given by the caller.
     pub id: Box<str>,
-    /// Its length.
+    /// Length of the part.
     pub tokens: TokenCount,
 }
 
-/// What is known of a prompt without reading it.
+/// Properties of a prompt that are known without parsing it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PromptShape {
     /// Model that must answer.
     pub model: ModelName,
-    /// Parts, first to last; the last belongs to this request or its session alone.
+    /// Prompt parts in order. The last one belongs to this request or its session alone.
     pub parts: Vec<PromptPart>,
-    /// Tokens of the whole prompt.
+    /// Length of the complete prompt.
     pub input: TokenCount,
-    /// Most tokens that may be generated.
+    /// Maximum number of tokens to generate.
     pub output: TokenCount,
 }
 
 impl PromptShape {
-    /// Memory that a run takes at its end.
+    /// Engine memory that a run occupies when it finishes, with all its output.
     pub fn memory(&self) -> TokenCount {
         TokenCount(self.input.0 + self.output.0)
     }
 }
 
-/// What goes to the upstream unchanged.
+/// The parts of the request head that are sent to the upstream unchanged.
 #[derive(Clone, Debug)]
 pub struct RequestHead {
-    /// Method.
+    /// Method of the caller's request.
     pub method: Method,
-    /// Path and query, byte for byte.
+    /// Path and query, unchanged byte for byte.
     pub target: Uri,
-    /// Headers that are the caller's to set.
+    /// Headers that callers are permitted to set.
     pub headers: HeaderMap,
 }
 
-/// A request on its way.
+/// An accepted request; immutable while it is served.
 #[derive(Clone, Debug)]
 pub struct AcceptedRequest {
-    /// Id of this attempt of the caller's.
+    /// Id of the request; a caller's retry has another one.
     pub id: Box<str>,
-    /// Its route.
+    /// The route that it was matched to.
     pub route: Rc<RouteRule>,
-    /// Who sent it.
+    /// The authenticated caller.
     pub caller: CallerIdentity,
-    /// When its head was in.
+    /// When its head had been received.
     pub arrived: Moment,
-    /// When its caller no longer waits, or its route's time limit ends.
+    /// When its caller stops waiting or its route's time limit passes, whichever is earlier.
     pub deadline: Deadline,
-    /// Its prompt, if it is for a language model.
+    /// The prompt, if the request is for a language model.
     pub prompt: Option<PromptShape>,
-    /// The event after which the caller wants a stream to go on.
+    /// Id of the event after which the caller asks to resume a stream.
     pub resume_after: Option<Box<str>>,
-    /// Head for the upstream.
+    /// Head to send to the upstream.
     pub head: RequestHead,
-    /// Whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
 impl AcceptedRequest {
-    /// What the request is, whichever attempt of its caller's: worked out anew each time, since few
-    /// requests need it.
+    /// Digest of caller, path and body, which a caller's retries share. Computed on each call, as
+    /// few requests need it.
     pub fn digest(&self) -> RequestDigest {
         let caller = match &self.caller {
             CallerIdentity::Customer(customer) => customer.name.as_str(),
@@ -81,11 +81,12 @@
         RequestDigest::of(caller, path, &self.body)
     }
 
-    /// Rank among requests, 0 first: by the customer's rank if it has one, else by the route's; among
-    /// equals those of more urgent routes go first.
+    /// Priority among requests; 0 is served first. It is the customer's priority or, if it has
+    /// none, the route's; among equals, requests of more urgent routes come first.
     ///
-    /// By the customer's rank alone, a customer's short urgent requests would wait behind its long
-    /// ones: in a burst of three times the load, callers of the urgent kind gave up after two seconds.
+    /// By the customer's priority alone, a customer's short urgent requests would wait behind its
+    /// long ones: in a burst of three times the load, callers of urgent requests timed out after
+    /// two seconds.
     pub fn priority(&self) -> u8 {
         let own = match &self.caller {
             CallerIdentity::Customer(customer) => customer.priority,
--- a/crates/guava-serve/src/request/answer_body.rs
+++ b/crates/guava-serve/src/request/answer_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer to a caller: whole, or relayed event by event.
+//! Body of an answer to a caller: complete, or relayed event by event.
 
 use bytes::Bytes;
 use futures_util::stream::{LocalBoxStream, StreamExt};
@@ -7,27 +7,27 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// A relayed stream that could not be brought to its end.
+/// A relayed stream was interrupted and could not be resumed.
 ///
-/// The connection to the caller is closed without the body's end, so that the answer can't be
-/// taken for a whole one.
+/// The connection to the caller is closed without the end of the body, so that the answer can't be
+/// mistaken for a complete one.
 #[derive(Debug, Snafu, Clone, PartialEq, Eq)]
-#[snafu(display("the stream broke off: {reason}"))]
+#[snafu(display("stream interrupted: {reason}"))]
 pub struct InterruptedStream {
-    /// Why.
+    /// What interrupted it.
     pub reason: Box<str>,
 }
 
-/// A body on its way to a caller.
+/// Body of an answer to a caller.
 pub enum AnswerBody {
-    /// Known whole.
+    /// All bytes are known; `None` if there are none or they were sent.
     Complete(Option<Bytes>),
-    /// Passed on as it comes.
+    /// Bytes are relayed as they arrive.
     Relayed(LocalBoxStream<'static, Result<Bytes, InterruptedStream>>),
 }
 
 impl AnswerBody {
-    /// A whole body.
+    /// Creates a body whose bytes are all known.
     pub fn complete(bytes: impl Into<Bytes>) -> Self {
         let bytes = bytes.into();
         Self::Complete((!bytes.is_empty()).then_some(bytes))
--- a/crates/guava-serve/src/request/answer_timeout.rs
+++ b/crates/guava-serve/src/request/answer_timeout.rs
@@ -1,22 +1,22 @@
-//! How long one upstream is waited for before another is tried, and when refused callers return.
+//! How long to wait for an upstream before another is tried, and when refused callers retry.
 
 use crate::request::outcome::RefusalReason;
 use crate::serve_config::{RepeatRule, RouteRule};
 use guava_policy::FIRST_QUARANTINE_MS;
 
-/// Part of a plain request's objective after which another upstream is tried. Answers take a
-/// fraction of it, and what is left must suffice for the second try.
+/// Fraction of a plain request's objective after which another upstream is tried. Answers usually
+/// take only a fraction of the objective, and the remaining time must suffice for the retry.
 const PLAIN_FRACTION: f64 = 0.6;
-/// Part of a stream's objective after which another upstream is tried for its first event.
+/// Fraction of a stream's objective after which another upstream is tried for the first event.
 const STREAM_FRACTION: f64 = 0.5;
-/// How many times longer than expected the first event may take before that.
+/// Multiple of the expected time to the first event before which no other upstream is tried.
 const SLOW_FACTOR: f64 = 2.5;
-/// A pause between events after which a stream is taken up elsewhere, in milliseconds: callers
-/// give a stream up after two seconds, and taking it up takes some hundred milliseconds.
+/// Time without an event after which a stream is resumed at another upstream: callers abandon a
+/// stream after two seconds without an event, and resuming it takes a few hundred milliseconds.
 pub const EVENT_TIMEOUT_MS: u64 = 900;
 
 /// Milliseconds to wait for an answer, or for a stream's first event, before another upstream is
-/// tried; nothing if no other may be.
+/// tried. `None` if the request must not be repeated or has no attempts left.
 pub fn first_answer_timeout_ms(
     route: &RouteRule,
     runs_before: u32,
@@ -33,23 +33,23 @@
     Some(answer_timeout as u64)
 }
 
-/// Spread of the callers that return when an upstream may get requests again, in milliseconds.
+/// Base delay, and its random spread, for callers that return once an upstream has reopened.
 const CLOSED_SPREAD_MS: u64 = 150;
 
-/// Milliseconds until a refused caller should come back. Spread by a random number, so that
-/// callers that were refused together don't return together.
+/// Milliseconds until a refused caller should retry: a base delay by reason, and up to as much
+/// again by the random number `draw`, so that callers refused together do not return together.
 pub fn return_after_ms(reason: RefusalReason, draw: u64) -> u64 {
     let base = match reason {
         // A queue of some ten requests drains in about this time.
         RefusalReason::UpstreamsFull | RefusalReason::Overloaded => 150,
-        // The list and the connections of other daemons may know more at once.
+        // The list of upstreams, or reports of other daemons, may be updated at any moment.
         RefusalReason::Unreachable => 50,
         // Lists and configurations are read within about this time.
         RefusalReason::NoUpstream | RefusalReason::NotReady => 300,
         RefusalReason::TooLate => 200,
-        // A burst that fills all engines lasts for seconds; their runs end within two.
+        // A burst that fills all engines lasts for seconds, and their runs finish within two.
         RefusalReason::MemoryFull => 1_000,
-        // Where it is known for how long, that is said instead.
+        // Used only if the end of the quarantine is not known.
         RefusalReason::Quarantined => FIRST_QUARANTINE_MS,
         RefusalReason::UpstreamsClosed => CLOSED_SPREAD_MS,
     };
--- a/crates/guava-serve/src/request/attempt.rs
+++ b/crates/guava-serve/src/request/attempt.rs
@@ -1,4 +1,5 @@
-//! One send of a request to one upstream, up to its answer or its stream's first event.
+//! One attempt: sends a request to one upstream and waits for the complete answer or, for a stream,
+//! for the first event.
 
 use crate::arrival::until;
 use crate::events;
@@ -27,12 +28,12 @@
 use std::rc::Rc;
 use tokio::time::timeout;
 
-/// Largest answer that is not a stream, in bytes.
+/// Maximum size of an answer that is not a stream.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
-/// Longest wait for the rest of a refusal, so that its connection can be kept, in milliseconds.
+/// Timeout for reading a refusal's body, without which its connection can't be reused.
 const REFUSAL_BODY_TIMEOUT_MS: u64 = 20;
 
-/// Work at an upstream; over when this is dropped.
+/// Registers a request as in flight at an upstream, until the guard is dropped.
 pub struct WorkGuard {
     context: Rc<ServeContext>,
     ticket: WorkTicket,
@@ -41,7 +42,8 @@
 }
 
 impl WorkGuard {
-    /// Notes work from now on.
+    /// Registers the attempt in the work table. Also registers its fetch of prompt parts from
+    /// stores, if there is one, and a long prompt with the memory budget.
     pub fn begin(context: &Rc<ServeContext>, plan: &AttemptPlan) -> Self {
         let now = Moment::now();
         let ticket = context.work.borrow_mut().begin(&plan.send.upstream, &plan.load, now);
@@ -78,31 +80,31 @@
     }
 }
 
-/// An answer that came whole.
+/// An answer that was received completely.
 pub struct CompleteAnswer {
-    /// Status.
+    /// Status as the upstream sent it.
     pub status: StatusCode,
-    /// Head.
+    /// Headers, without those that concern only the upstream's connection.
     pub headers: HeaderMap,
-    /// Body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// A stream whose first event is in.
+/// A stream whose first event has been received.
 pub struct OpenStream {
-    /// Status.
+    /// Status as the upstream sent it.
     pub status: StatusCode,
-    /// Head.
+    /// Headers, without those that concern only the upstream's connection.
     pub headers: HeaderMap,
-    /// The first events.
+    /// The first events; empty if the stream ended without any.
     pub first: EventBatch,
-    /// Where the rest comes from.
+    /// Source of the remaining events.
     pub source: StreamSource,
 }
 
-/// Where a stream's events come from.
+/// The upstream connection that a stream's events are read from.
 pub struct StreamSource {
-    /// Which upstream.
+    /// The upstream that sends the stream.
     pub upstream: UpstreamId,
     body: Incoming,
     framer: EventFramer,
@@ -111,47 +113,50 @@
     work: WorkGuard,
 }
 
-/// What a stream brings next.
+/// Result of reading from a stream.
 pub enum StreamStep {
-    /// Whole events.
+    /// One or more complete events.
     Events(EventBatch),
-    /// Its end.
+    /// The stream ended at an event boundary.
     End,
-    /// It broke off.
+    /// The stream was interrupted, for the reason given.
     Interrupted(Box<str>),
 }
 
-/// How a send ended.
+/// Result of an attempt.
 pub enum AttemptOutcome {
-    /// With a whole answer.
+    /// The upstream answered completely.
     Complete(CompleteAnswer),
-    /// With a stream.
+    /// The upstream opened a stream.
     Stream(Box<OpenStream>),
-    /// No byte was written.
+    /// Not sent: no byte was written to the upstream.
     NotSent,
-    /// No byte was written: it may get nothing any more since it was chosen.
+    /// Not sent: the upstream was closed after it had been chosen.
     Closed,
-    /// The upstream says that it did not run it.
+    /// The upstream states that it did not run the request.
     Refused,
-    /// It did not run it since it has other weights than expected, which are known now.
+    /// The engine did not run the request because its weights differ from the expected ones.
+    /// Another version can now be requested from it.
     OtherWeights,
-    /// Given up for another upstream, whose try is paid for; it may have run.
+    /// Abandoned in favour of another upstream, with a retry already taken from the budget. The
+    /// request may have run.
     Abandoned,
-    /// It may have run, and there is no answer.
+    /// The request may have run, and no answer will come.
     Lost,
-    /// Nobody waits any more, and it may have run.
+    /// The request's deadline passed without an answer. It may have run.
     TimedOut,
 }
 
-/// Result of a wait that is bounded by patience and deadline.
+/// Result of a wait that is bounded by the answer timeout and the deadline.
 enum WaitOutcome<T> {
     Done(T),
     Abandoned,
     TimedOut,
 }
 
-/// Waits within the plan's patience. Another try is placed and paid for before this one is given
-/// up: without that, a slow answer would turn into none.
+/// Waits for part of an answer, until the deadline at most. After the answer timeout the attempt is
+/// abandoned only if another upstream can take the request and the budget allows a retry: otherwise
+/// a slow answer would become no answer.
 async fn wait_for_answer<T>(
     input: PlanInput<'_>,
     plan: &AttemptPlan,
@@ -177,7 +182,7 @@
     }
 }
 
-/// A request and its plan, as the steps of one send see them.
+/// Data that the steps of one attempt share.
 struct Attempt<'a> {
     context: &'a Rc<ServeContext>,
     request: &'a AcceptedRequest,
@@ -185,15 +190,15 @@
     input: PlanInput<'a>,
 }
 
-/// Sends a request once.
+/// Sends a request once, according to the plan, and counts the outcome in the metrics.
 pub async fn attempt(
     context: &Rc<ServeContext>,
     input: PlanInput<'_>,
     plan: &AttemptPlan,
 ) -> AttemptOutcome {
     let attempt = Attempt { context, request: input.request, plan, input };
-    let end = attempt.run().await;
-    context.metrics.count_send(match end {
+    let outcome = attempt.run().await;
+    context.metrics.count_send(match outcome {
         AttemptOutcome::Complete(_) | AttemptOutcome::Stream(_) => "answered",
         AttemptOutcome::NotSent => "not-sent",
         AttemptOutcome::Closed => "closed",
@@ -203,17 +208,17 @@
         AttemptOutcome::Lost => "lost",
         AttemptOutcome::TimedOut => "timed-out",
     });
-    end
+    outcome
 }
 
 impl Attempt<'_> {
     async fn run(&self) -> AttemptOutcome {
         let send = &self.plan.send;
         let was_idle = self.context.work.borrow().is_idle(&send.upstream, Moment::now());
-        // Listed from the choice on, so that choices made meanwhile see it.
+        // Registered before connecting, so that concurrent choices of an upstream count it.
         let work = WorkGuard::begin(self.context, self.plan);
         let Some(mut connection) = self.connect().await else { return AttemptOutcome::NotSent };
-        // The upstream may have left while the connection was opened.
+        // The upstream may have been removed from the list while the connection was opened.
         await_fresh_list(self.context).await;
         let gate = pass_gate(self.context, &self.plan.service, &send.upstream, Moment::now());
         if let GateState::Closed(closed) = gate {
@@ -236,14 +241,14 @@
             };
         let marks = (self.context.dialect.marks)(answer.status(), answer.headers());
         self.note_announcements(&marks, sent);
-        // An answer to an earlier request on this connection, or a second one.
+        // The upstream answered an earlier request on this connection, or answered one twice.
         if marks.request.as_deref().is_some_and(|answered| answered != &*self.request.id) {
             return self.lost("the answer belongs to another request");
         }
         if marks.is_not_run {
-            let end = self.note_refusal(&marks, answer.status());
+            let outcome = self.note_refusal(&marks, answer.status());
             self.recycle_connection(connection, answer, &marks).await;
-            return end;
+            return outcome;
         }
         let is_stream = self.request.route.repeat.is_stream();
         if is_stream && answer.status() == StatusCode::OK {
@@ -297,7 +302,7 @@
         }
     }
 
-    /// The connection ended before the answer was whole.
+    /// Records a connection that broke before the answer was complete.
     fn interrupted(&self, reason: &str) -> AttemptOutcome {
         note_interrupted(self.context, &self.plan.send.upstream, self.request.digest());
         self.lost(reason)
@@ -308,9 +313,9 @@
         AttemptOutcome::Lost
     }
 
-    fn unanswered(&self, end: AttemptOutcome) -> AttemptOutcome {
+    fn unanswered(&self, outcome: AttemptOutcome) -> AttemptOutcome {
         self.note_failure("no answer in time");
-        end
+        outcome
     }
 
     fn note_failure(&self, reason: &str) {
@@ -326,31 +331,31 @@
         );
     }
 
-    /// Takes in what the upstream says of itself; what another one at its address says is not its word.
+    /// Records the upstream's announcements, unless another upstream answered at its address.
     fn note_announcements(&self, marks: &AnswerMarks, sent: Moment) {
         if !self.is_from_other(marks) {
             note_announcements(self.context, &self.plan.send.upstream, &marks.announcements, sent);
         }
     }
 
-    /// Whether another upstream answered.
+    /// Whether the answer names another upstream than the one that the request was sent to.
     fn is_from_other(&self, marks: &AnswerMarks) -> bool {
         let name = self.plan.send.upstream.name();
         marks.instance.as_deref().is_some_and(|other| other != name)
     }
 
     fn note_refusal(&self, marks: &AnswerMarks, status: StatusCode) -> AttemptOutcome {
-        let mut end = AttemptOutcome::Refused;
+        let mut outcome = AttemptOutcome::Refused;
         let upstream = &self.plan.send.upstream;
         let is_other = self.is_from_other(marks);
         if marks.is_unexpected && is_other {
             self.context.upstreams.borrow_mut().note_replaced(upstream);
         } else if marks.is_unexpected {
             if self.note_other_weights(marks) {
-                end = AttemptOutcome::OtherWeights;
+                outcome = AttemptOutcome::OtherWeights;
             }
         } else {
-            // Full, or loading weights: others are cheaper for a moment.
+            // It is full or loading weights, so other upstreams are preferred for a short time.
             let until = Deadline::in_millis(LOADING_ESTIMATE_MS);
             self.context.upstreams.borrow_mut().note_loading(upstream, until);
         }
@@ -362,12 +367,13 @@
             status = status.as_u16(),
             other = is_other
         );
-        end
+        outcome
     }
 
-    /// Takes note that an engine has other weights than expected: those that it names, or one of the
-    /// published that it has not refused. Without that it would be asked for the old ones, and
-    /// refuse, until the list says so a second later. Whether another version may be asked for.
+    /// Records that an engine has other weights than expected: the version that it names or, if it
+    /// names none, one of the published versions that it has not refused. Otherwise requests would
+    /// keep asking for the old version and be refused until the list is updated, a second later.
+    /// Returns whether another version can be requested from it.
     fn note_other_weights(&self, marks: &AnswerMarks) -> bool {
         let Some((model, expected)) = self.expected_weights() else { return false };
         let upstream = &self.plan.send.upstream;
@@ -387,7 +393,7 @@
         Some((model, self.plan.send.engine.as_ref()?.version))
     }
 
-    /// An engine that runs a request has the weights that were asked for.
+    /// Records that an engine which runs the request has the version that was asked for.
     fn confirm_weights(&self) {
         if let Some((model, version)) = self.expected_weights() {
             let mut upstreams = self.context.upstreams.borrow_mut();
@@ -395,7 +401,7 @@
         }
     }
 
-    /// Reads a refusal's short body, so that the connection can be used again.
+    /// Reads a refusal's short body and returns a reusable connection to the pool.
     async fn recycle_connection(
         &self,
         connection: UpstreamConnection,
@@ -419,7 +425,7 @@
         let (head, body) = answer.into_parts();
         let body = match wait_for_answer(self.input, self.plan, collect_body(body)).await {
             WaitOutcome::Done(Some(body)) => body,
-            WaitOutcome::Done(None) => return self.interrupted("the answer broke off"),
+            WaitOutcome::Done(None) => return self.interrupted("the answer was interrupted"),
             WaitOutcome::Abandoned => return self.unanswered(AttemptOutcome::Abandoned),
             WaitOutcome::TimedOut => return self.unanswered(AttemptOutcome::TimedOut),
         };
@@ -445,7 +451,7 @@
         let upstream = self.plan.send.upstream.clone();
         let framer = EventFramer::default();
         let mut source = StreamSource { upstream, body, framer, connection, marks, work };
-        // The head is held back until an event is there: until then another upstream may answer.
+        // The headers are withheld until the first event: until then another upstream may answer.
         let first = match wait_for_answer(self.input, self.plan, source.next_step()).await {
             WaitOutcome::Done(StreamStep::Events(batch)) => batch,
             WaitOutcome::Done(StreamStep::End) => EventBatch { bytes: Bytes::new(), last_id: None },
@@ -461,7 +467,8 @@
         AttemptOutcome::Stream(Box::new(OpenStream { status: head.status, headers, first, source }))
     }
 
-    /// Learns how fast engines read from a prompt that had nothing before it.
+    /// Updates the engines' prefill rate from a prompt that was sent to an idle engine and fetches
+    /// no parts, so that its time to the first event was spent on reading the prompt.
     fn note_prefill_time(&self, sent_while_idle: Option<Moment>) {
         let has_no_fetch =
             self.plan.send.engine.as_ref().is_some_and(|orders| orders.fetch_until_ms.is_none());
@@ -477,7 +484,7 @@
     }
 }
 
-/// How long an upstream that refused for want of room or weights is avoided, in milliseconds.
+/// Time for which an upstream that refused a request counts as loading, and others are preferred.
 const LOADING_ESTIMATE_MS: u64 = 500;
 
 async fn collect_body(mut body: Incoming) -> Option<Bytes> {
@@ -494,7 +501,7 @@
 }
 
 impl StreamSource {
-    /// The next whole events.
+    /// Reads until at least one more event is complete, or the stream ends or is interrupted.
     pub async fn next_step(&mut self) -> StreamStep {
         loop {
             if let Some(batch) = self.framer.take_complete() {
@@ -504,7 +511,7 @@
                 Some(Ok(frame)) => {
                     let data = frame.data_ref().map(|data| &data[..]).unwrap_or_default();
                     if !self.framer.push(data) {
-                        return StreamStep::Interrupted("an event is too large".into());
+                        return StreamStep::Interrupted("an event exceeds the size limit".into());
                     }
                 }
                 Some(Err(error)) => return StreamStep::Interrupted(error.to_string().into()),
@@ -521,10 +528,10 @@
             let bytes = self.framer.take_remainder();
             return StreamStep::Events(EventBatch { bytes, last_id: None });
         }
-        StreamStep::Interrupted("the connection ended in the middle of an event".into())
+        StreamStep::Interrupted("the connection ended within an event".into())
     }
 
-    /// Gives the connection back after the stream's end.
+    /// Returns the connection to the pool after the stream's end, if it can be reused.
     pub fn finish(self, context: &ServeContext) {
         if !self.marks.is_last && self.marks.is_framed {
             context.pool.keep(self.connection, self.marks.idle_limit_ms);
--- a/crates/guava-serve/src/request/attempt_plan.rs
+++ b/crates/guava-serve/src/request/attempt_plan.rs
@@ -1,4 +1,4 @@
-//! One send as it was decided.
+//! The plan of one attempt.
 
 use crate::parts::store_links::FetchWait;
 use crate::request::dialect::SendPlan;
@@ -7,21 +7,21 @@
 use guava_types::Deadline;
 use std::rc::Rc;
 
-/// One send with all that was decided for it.
+/// Everything that was decided for one attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptPlan {
-    /// What is sent where.
+    /// The upstream, and what it is told besides the request.
     pub send: SendPlan,
-    /// Its service, whose budget pays for another try.
+    /// The service, from whose retry budget a further attempt is taken.
     pub service: Rc<ServiceRule>,
-    /// What it is expected to cost.
+    /// Load that the attempt is expected to cause at the upstream.
     pub load: ExpectedLoad,
-    /// What it waits for at the links of stores, if it fetches parts.
+    /// Transfers from stores that the attempt waits for, if the engine fetches prompt parts.
     pub wait: Option<FetchWait>,
-    /// Whether it is a long prompt, which shows how full engines are.
+    /// Whether the prompt is long. Its time to the first token then adjusts the memory budget.
     pub is_long: bool,
-    /// When another upstream is tried, if one may be.
+    /// When another upstream is tried, if a retry is permitted.
     pub answer_timeout: Option<Deadline>,
-    /// When nobody waits any more.
+    /// When the request times out.
     pub deadline: Deadline,
 }
--- a/crates/guava-serve/src/request/dispatch.rs
+++ b/crates/guava-serve/src/request/dispatch.rs
@@ -1,4 +1,4 @@
-//! A request's way: from the choice of its service to its final answer.
+//! Serves accepted requests: from the choice of a service to the final answer.
 
 use crate::events;
 use crate::request::accepted_request::AcceptedRequest;
@@ -17,11 +17,12 @@
 use http::Response;
 use std::rc::Rc;
 
-/// When a stopped request whose time is just over may come back at the earliest, in milliseconds:
-/// its end is not known to the millisecond at all daemons.
+/// Minimum retry delay for a quarantined request: daemons do not agree to the millisecond on when a
+/// quarantine ends.
 const MIN_QUARANTINE_RETRY_MS: u64 = 1_000;
 
-/// Serves a request: from the choice of an upstream to its answer.
+/// Serves a request until it is answered, refused, lost or timed out. Dropping the future abandons
+/// the request at its upstream; a stream's body continues to be served after the return.
 pub async fn serve_request(
     context: &Rc<ServeContext>,
     config: &Rc<ServeConfig>,
@@ -86,13 +87,14 @@
     ServeOutcome::Answered(response)
 }
 
-/// Refuses a request that is stopped until some moment, and can't be served before.
+/// Refuses a quarantined request until its quarantine ends.
 fn quarantined(context: &ServeContext, request: &AcceptedRequest, until: Deadline) -> ServeOutcome {
     let left_ms = until.millis_left(Moment::now()).max(MIN_QUARANTINE_RETRY_MS);
     refused_for(context, request, RefusalReason::Quarantined, left_ms)
 }
 
-/// Refuses a request; where all upstreams may get nothing for a known time, for that time.
+/// Refuses a request. If all upstreams are closed and it is known when the first one reopens, the
+/// caller is told to return after that moment.
 fn refuse_until_open(run: &RequestRun, reason: RefusalReason) -> ServeOutcome {
     let now = Moment::now();
     let rule = run.config.service(&run.service);
@@ -150,7 +152,8 @@
     if is_timed_out { ServeOutcome::TimedOut } else { ServeOutcome::Lost }
 }
 
-/// Logs that a caller left while it waited: its request is dropped with all that it uses.
+/// Logs that the caller left before the answer: the request's future, and this guard with it, is
+/// dropped then.
 struct CallerWatch {
     context: Rc<ServeContext>,
     request: Rc<AcceptedRequest>,
--- a/crates/guava-serve/src/request/event_framer.rs
+++ b/crates/guava-serve/src/request/event_framer.rs
@@ -1,39 +1,39 @@
-//! Cuts a stream into whole events (`text/event-stream`).
+//! Splits a stream into complete events (`text/event-stream`).
 //!
-//! An upstream may stop in the middle of an event. If its bytes were passed on as they came, a
-//! stream that goes on at another upstream would join two halves of different events. So an event
-//! is passed on only once its blank line is in.
+//! A stream may be interrupted within an event. If bytes were relayed as they arrive, a stream that
+//! is resumed at another upstream would join two halves of different events. So an event is relayed
+//! only once the blank line that ends it has been received.
 
 use bytes::{Bytes, BytesMut};
 
-/// Bytes of one event that are held back while it is not whole; more is no event stream.
+/// Maximum size of an event; a larger one is not accepted as an event stream.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Whole events, and the id of the last of them.
+/// Complete events, and the id of the last of them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EventBatch {
-    /// The events' bytes as they came.
+    /// The events' bytes, unchanged.
     pub bytes: Bytes,
     /// Id of the last event that has one.
     pub last_id: Option<Box<str>>,
 }
 
-/// Collects bytes until events are whole.
+/// Buffers bytes until they form complete events.
 #[derive(Debug, Default)]
 pub struct EventFramer {
     pending: BytesMut,
-    /// Where the search for the next end goes on.
+    /// Length of the prefix that was already searched for the end of an event.
     searched_len: usize,
 }
 
 impl EventFramer {
-    /// Takes bytes in; false if they can't be an event stream.
+    /// Appends received bytes; returns false if an incomplete event exceeds the size limit.
     pub fn push(&mut self, bytes: &[u8]) -> bool {
         self.pending.extend_from_slice(bytes);
         self.pending.len() <= MAX_EVENT_BYTES
     }
 
-    /// All events that are whole by now.
+    /// Removes and returns all complete events.
     pub fn take_complete(&mut self) -> Option<EventBatch> {
         let end = self.last_event_end()?;
         let bytes = self.pending.split_to(end).freeze();
@@ -42,21 +42,21 @@
         Some(EventBatch { bytes, last_id })
     }
 
-    /// Whether nothing of a further event has come.
+    /// Whether no bytes of an incomplete event are buffered.
     pub fn is_at_boundary(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// What is left of an event that is not whole.
+    /// Removes and returns the bytes of an incomplete event.
     pub fn take_remainder(&mut self) -> Bytes {
         self.searched_len = 0;
         self.pending.split().freeze()
     }
 
-    /// The place after the last blank line.
+    /// The position after the last blank line.
     fn last_event_end(&mut self) -> Option<usize> {
         let bytes = &self.pending[..];
-        // A blank line may straddle two reads, so the search starts a little before the new bytes.
+        // A blank line may be split between two reads, so the search starts before the new bytes.
         let from = self.searched_len.saturating_sub(3);
         let is_end = |position: usize| {
             let before = &bytes[..position];
--- a/crates/guava-serve/src/request/event_relay.rs
+++ b/crates/guava-serve/src/request/event_relay.rs
@@ -1,4 +1,4 @@
-//! Passes a stream's events on, and takes the stream up elsewhere when its upstream fails.
+//! Relays a stream's events to the caller, and resumes it at another upstream if its own fails.
 
 use crate::arrival::until;
 use crate::events;
@@ -16,11 +16,11 @@
 use http::{Response, StatusCode};
 use std::pin::pin;
 
-/// How long a silent source is kept while the stream is sent elsewhere, in milliseconds: refusals
-/// come within less, and two upstreams must not be at work on one stream for longer.
+/// How long a silent source is kept while another upstream is asked to resume the stream: refusals
+/// arrive sooner, and two upstreams must not work on one stream for longer.
 const SILENT_SOURCE_RETENTION_MS: u64 = 300;
 
-/// A stream on its way to a caller.
+/// A stream that is being relayed to a caller.
 struct EventRelay {
     run: RequestRun,
     source: Option<StreamSource>,
@@ -30,14 +30,15 @@
     is_finished: bool,
 }
 
-/// What the caller has of a stream, for logs.
+/// How much of a stream was relayed, and from which upstream, for logs.
 struct RelayProgress {
     bytes: usize,
     last_event_at: Moment,
     upstream: UpstreamId,
 }
 
-/// The answer whose body is a stream's events.
+/// Creates the response whose body relays a stream's events. Attempts to resume the stream are made
+/// while the body is polled.
 pub fn relay_response(run: RequestRun, opened: OpenStream) -> Response<AnswerBody> {
     let OpenStream { status, headers, first, source } = opened;
     let last_id = run.request.resume_after.clone();
@@ -67,7 +68,7 @@
             return None;
         }
         if let Some(first) = self.first.take() {
-            // A stream without any event ends with its first, empty batch.
+            // The first batch is empty if the stream has no events.
             if !first.bytes.is_empty() {
                 return Some(Ok(self.note_relayed(first)));
             }
@@ -100,9 +101,9 @@
         batch.bytes
     }
 
-    /// The next step of the source, within the request's time. After a long pause the source is
-    /// given up if another upstream can go on; if none can, its silence is no reason to end the
-    /// answer.
+    /// Reads from the source until the request's deadline. If no event arrives within the event
+    /// timeout, the stream is resumed at another upstream; if none can take it, the source is read
+    /// further, since its silence alone is no reason to end the answer.
     async fn step(&mut self) -> StreamStep {
         let deadline = self.run.request.deadline;
         let is_resumable = self.run.request.route.repeat == RepeatRule::ResumableStream;
@@ -128,7 +129,7 @@
                 None if deadline.passed(Moment::now()) => {
                     return StreamStep::Interrupted("no event in time".into());
                 }
-                None if self.run.reserve_retry() => match self.resume("no event for long").await {
+                None if self.run.reserve_retry() => match self.resume("source is silent").await {
                     Ok(Some(batch)) => return StreamStep::Events(batch),
                     Ok(None) => {}
                     Err(interrupted) => return StreamStep::Interrupted(interrupted.reason),
@@ -138,8 +139,8 @@
         }
     }
 
-    /// Goes on at another upstream after the last event that the caller got. A silent source is kept
-    /// meanwhile: where no other takes the stream, it goes on itself.
+    /// Resumes the stream at another upstream, after the last event that was relayed. A silent
+    /// source is kept meanwhile, and `None` returned, if no other upstream takes the stream.
     async fn resume(&mut self, reason: &str) -> Result<Option<EventBatch>, InterruptedStream> {
         let failure = |reason: &str| InterruptedStream { reason: reason.into() };
         self.run
@@ -154,7 +155,7 @@
         let opened = match self.send_remainder(last_id.as_deref()).await {
             SendResult::Stream(opened) if opened.status == StatusCode::OK => opened,
             _ if self.source.is_some() => return Ok(None),
-            SendResult::Stream(_) => return Err(failure("the stream can't be taken up")),
+            SendResult::Stream(_) => return Err(failure("the stream can't be resumed")),
             SendResult::Complete(_) | SendResult::NoAnswer { .. } => return Err(failure(reason)),
         };
         log_event!(
@@ -170,7 +171,8 @@
         Ok(Some(opened.first).filter(|first| !first.bytes.is_empty()))
     }
 
-    /// Sends the rest of the stream elsewhere; a silent source is let go once that takes long.
+    /// Requests the remaining events from another upstream. A silent source is dropped if that
+    /// takes longer than its retention.
     async fn send_remainder(&mut self, last_id: Option<&str>) -> SendResult {
         let mut sending = pin!(self.run.send(last_id));
         if let Some(result) =
--- a/crates/guava-serve/src/request/outcome.rs
+++ b/crates/guava-serve/src/request/outcome.rs
@@ -1,4 +1,4 @@
-//! What a request comes to, and how its runs are accounted for.
+//! Final outcomes of a request, and the record of its attempts.
 
 use crate::request::answer_body::AnswerBody;
 use guava_types::{Deadline, UpstreamId};
@@ -8,28 +8,28 @@
 /// Why a request was not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// No upstream may take it.
+    /// The configuration has no service for its route, or no upstream may take it.
     NoUpstream,
-    /// All upstreams may get nothing at present, by what they have said of themselves.
+    /// All upstreams are closed, and it is known when the first one reopens.
     UpstreamsClosed,
     /// The upstreams that were asked are full.
     UpstreamsFull,
     /// No upstream could be reached.
     Unreachable,
-    /// It waited for memory at an engine until it could not be in time any more.
+    /// It was queued for engine memory and shed, as it could no longer start in time.
     MemoryFull,
-    /// It can't be answered before its caller gives up.
+    /// Its deadline passed.
     TooLate,
-    /// Too many requests are held here.
+    /// This daemon holds too many bytes of request bodies.
     Overloaded,
-    /// No configuration is known yet.
+    /// The daemon has no configuration yet, or none recent enough to reject a route or key by.
     NotReady,
-    /// Upstreams end under it.
+    /// It is quarantined, as it was in flight at several crashes of upstreams.
     Quarantined,
 }
 
 impl RefusalReason {
-    /// In a word, for logs and metrics.
+    /// Name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::NoUpstream => "no-upstream",
@@ -51,47 +51,48 @@
     }
 }
 
-/// The final answer to a request.
+/// Final outcome of a request.
 pub enum ServeOutcome {
-    /// An upstream's answer.
+    /// Answered by an upstream; the body may still be streaming.
     Answered(Response<AnswerBody>),
-    /// It has not run and never will.
+    /// Refused: the request has not run and will not.
     NotRun {
-        /// Why.
+        /// Reason for the refusal.
         reason: RefusalReason,
-        /// When to come back, in milliseconds.
+        /// Milliseconds after which the caller should retry.
         return_after_ms: u64,
     },
-    /// It may have run, and no answer came before its time was over.
+    /// No answer arrived before the deadline; the request may have run.
     TimedOut,
-    /// It may have run, and its answer is lost.
+    /// The answer is lost; the request may have run.
     Lost,
 }
 
-/// What is known of the sends of one request.
+/// Outcomes of the attempts of one request.
 ///
-/// "Not run" may be said only if every send is accounted for: either no byte was written, or the
-/// upstream said that it did not run it. One send that ended in silence makes it a lie for good.
+/// A request may be reported as not run only if every attempt is accounted for: either no byte was
+/// written, or the upstream stated that it did not run the request. After one attempt with an
+/// unknown outcome it must never be reported as not run.
 #[derive(Clone, Debug, Default)]
 pub struct SendRecord {
-    /// Upstreams that are not asked again.
+    /// Upstreams that must not be chosen again.
     pub tried: Vec<UpstreamId>,
-    /// Requests that reached an upstream, refused ones included.
+    /// Attempts that reached an upstream, refused ones included.
     pub reached: u32,
-    /// Sends that may have run.
+    /// Attempts in which the request may have run.
     pub runs: u32,
-    /// Tries that never reached an upstream.
+    /// Attempts that did not reach an upstream.
     pub unreached: u32,
-    /// Refusals by upstreams.
+    /// Attempts that an upstream refused.
     pub refusals: u32,
-    /// Whether it was held here until its time to start was over.
+    /// Whether it was queued for engine memory and shed.
     pub was_shed: bool,
-    /// Until when it is stopped, if upstreams end under it.
+    /// End of its quarantine, if it is quarantined.
     pub quarantined_until: Option<Deadline>,
 }
 
 impl SendRecord {
-    /// Why it has not run, if it surely has not.
+    /// Why the request was not run; `None` if it may have run.
     pub fn refusal(&self) -> Option<RefusalReason> {
         if self.runs > 0 {
             return None;
--- a/crates/guava-serve/src/request/request_run.rs
+++ b/crates/guava-serve/src/request/request_run.rs
@@ -1,4 +1,4 @@
-//! A request's sends: to one upstream after the other, until there is an answer or none may follow.
+//! Sends a request to one upstream after another, until one answers or no attempt is left.
 
 use crate::events;
 use crate::request::accepted_request::AcceptedRequest;
@@ -17,45 +17,47 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Upstreams that are tried for one request at most, refusals and failed connections included.
+/// Maximum attempts for one request, including refusals and failed connections.
 const MAX_SEND_ATTEMPTS: u32 = 4;
-/// Pause between two looks at whether an engine has memory for a prompt in line, in milliseconds: a
-/// tenth of the time that the shortest long prompt takes.
+/// Interval between checks whether an engine has memory for a queued prompt: a tenth of the time
+/// that the shortest long prompt takes.
 const QUEUE_POLL_INTERVAL_MS: u64 = 20;
 
-/// A request that was accepted, on its way.
+/// An accepted request that is being served, and the state of its attempts.
 pub struct RequestRun {
-    /// The parts it uses.
+    /// Shared state of the request path.
     pub context: Rc<ServeContext>,
-    /// The configuration that it was accepted under.
+    /// The configuration that was in force when the request was accepted.
     pub config: Rc<ServeConfig>,
-    /// The request.
+    /// The request to serve.
     pub request: Rc<AcceptedRequest>,
-    /// Its service.
+    /// The service that was drawn for it.
     pub service: ServiceName,
-    /// Its sends so far.
+    /// Outcomes of its attempts so far.
     pub record: SendRecord,
-    /// Whether the next try is paid for already.
+    /// Whether the next attempt has already been taken from the retry budget.
     pub is_retry_reserved: bool,
-    /// How long the first event took, in milliseconds.
+    /// Milliseconds from the request's arrival to a stream's first event.
     pub first_ms: Option<u64>,
 }
 
-/// What a round of sends gave.
+/// Result of sending a request until it is answered.
 pub enum SendResult {
-    /// A whole answer.
+    /// A complete answer.
     Complete(CompleteAnswer),
-    /// A stream.
+    /// A stream with its first events.
     Stream(Box<OpenStream>),
-    /// Nothing more may be tried.
+    /// No answer, and no further attempt is permitted.
     NoAnswer {
-        /// Whether its time is over.
+        /// Whether the deadline has passed.
         is_timed_out: bool,
     },
 }
 
 impl RequestRun {
-    /// Sends until there is an answer or nothing more may be tried.
+    /// Sends until there is an answer or no further attempt is permitted. A stream is resumed after
+    /// the event `resume_after`, if given. If every attempt failed, an earlier complete answer with
+    /// a server error is returned.
     pub async fn send(&mut self, resume_after: Option<&str>) -> SendResult {
         let mut fallback: Option<CompleteAnswer> = None;
         loop {
@@ -67,7 +69,7 @@
             if !self.may_attempt() {
                 return unanswered(fallback, false);
             }
-            // Looked up before each send: what other daemons saw meanwhile counts.
+            // Looked up before each attempt, as other daemons may have reported crashes meanwhile.
             self.record.quarantined_until =
                 quarantined_until(&self.context, || self.request.digest());
             if self.record.quarantined_until.is_some() {
@@ -106,12 +108,12 @@
                     return SendResult::Stream(stream);
                 }
                 AttemptOutcome::NotSent => self.record.unreached += 1,
-                // Each is asked once, so that this ends with the upstreams.
+                // Each upstream is asked only once, so the loop ends when none is left.
                 AttemptOutcome::Closed => {}
                 AttemptOutcome::Refused => self.note_refusal(),
                 AttemptOutcome::OtherWeights => {
                     self.note_refusal();
-                    // It can be asked again, for the weights that it has.
+                    // It can be asked again, for the version that it has.
                     self.record.tried.pop();
                 }
                 AttemptOutcome::Abandoned => {
@@ -138,13 +140,13 @@
     }
 
     fn plan(&self, resume_after: Option<&str>) -> PlanStep {
-        // What is under way already must not wait here as well.
+        // A request that has already reached an upstream must not be queued as well.
         let may_queue = resume_after.is_none() && self.record.reached == 0;
         plan_attempt(self.plan_input(), resume_after, may_queue)
     }
 
-    /// Waits in line until an engine may have memory for a long prompt; false if it can't be in
-    /// time, as the line drains or by now.
+    /// Queues a long prompt until an engine has memory for it. Returns false if the prompt must be
+    /// shed: its objective has passed or, at the rate at which the queue drains, would pass.
     async fn wait_in_queue(&self) -> bool {
         let request = &self.request;
         let until = Deadline::after(request.arrived, request.route.objective_ms);
@@ -152,7 +154,7 @@
         let now = Moment::now();
         let wait = self.context.memory_queue.borrow().expected_wait_ms(request.priority(), now);
         if wait.is_some_and(|wait_ms| Deadline::after(now, wait_ms) > until) {
-            // It would be refused after that time anyway; told at once, its caller can go elsewhere.
+            // It would be refused later anyway; refused now, its caller can go elsewhere.
             return false;
         }
         let queued = QueuedPrompt::join(&self.context, request);
@@ -179,7 +181,7 @@
         self.record.runs += 1;
     }
 
-    /// Whether another upstream may get the request.
+    /// Whether the request's route and its attempts so far permit another attempt.
     fn may_attempt(&self) -> bool {
         let route = &self.request.route;
         let may_run = self.record.runs == 0
@@ -188,7 +190,8 @@
         may_run && attempts < MAX_SEND_ATTEMPTS
     }
 
-    /// Whether a stream that has begun can go on at another upstream, whose try is then paid for.
+    /// Reserves a retry if a stream that has begun can be resumed at another upstream. Returns
+    /// whether one was reserved.
     pub fn reserve_retry(&mut self) -> bool {
         let is_timed_out = self.request.deadline.passed(Moment::now());
         let is_quarantined = quarantined_until(&self.context, || self.request.digest()).is_some();
@@ -198,7 +201,8 @@
         is_reserved
     }
 
-    /// Pays for a send; the first that reaches an upstream is free.
+    /// Takes an attempt from the retry budget, unless one is reserved or no attempt has reached an
+    /// upstream yet. Returns false if the budget is exhausted.
     fn spend_retry(&mut self) -> bool {
         if self.record.reached == 0 || std::mem::take(&mut self.is_retry_reserved) {
             return true;
@@ -206,7 +210,8 @@
         self.context.retries.borrow_mut().spend(&self.service)
     }
 
-    /// An upstream's own error may not be another's.
+    /// Whether to try another upstream after this answer: a server error may be this upstream's
+    /// alone.
     fn is_worth_retry(&self, answer: &CompleteAnswer) -> bool {
         answer.status.is_server_error() && self.may_attempt()
     }
@@ -219,7 +224,7 @@
     }
 }
 
-/// A place in the line for memory at engines; given up when this is dropped.
+/// A prompt in the queue for engine memory; leaves the queue when dropped.
 struct QueuedPrompt {
     context: Rc<ServeContext>,
     ticket: u64,
