--- a/crates/guava-state/src/eviction.rs
+++ b/crates/guava-state/src/eviction.rs
@@ -1,23 +1,24 @@
 //! The eviction rule: when a silent member is taken off the roster.
 //!
-//! Only a daemon in touch with a majority evicts. A minority that still reads the log would else
-//! evict everybody whom it does not hear, become the majority of what is left, and accept changes
-//! behind the back of a majority that is cut from the log and, by the freshness rule, serves on.
+//! Only a daemon that reaches a majority evicts. Otherwise a minority that still reads the log
+//! could evict all members that are silent to it and become the majority of the remaining roster.
+//! It would then accept changes unknown to the former majority, which can't read the log but, by
+//! the freshness rule, continues to serve.
 
 use guava_types::{FastMap, Incarnation, Moment};
 
-/// How long a member must be silent, in milliseconds.
+/// Silence after which a member is evicted, in milliseconds.
 pub const EVICT_AFTER_MS: u64 = 30_000;
 
-/// Since when each silent member has been silent.
+/// The moment from which each silent member has been silent.
 #[derive(Clone, Debug, Default)]
 pub struct EvictionWatch {
     silent_since: FastMap<Incarnation, Moment>,
 }
 
 impl EvictionWatch {
-    /// Members to evict now. `stagger_ms` delays this daemon a little: another one's record is then
-    /// usually read before this one writes its own.
+    /// Members to evict now. `stagger_ms` delays this daemon, so that it usually reads another
+    /// daemon's eviction record before it writes its own.
     pub fn due(
         &mut self,
         silent: &[Incarnation],
@@ -39,7 +40,7 @@
             .filter(|(_, since)| is_over(since))
             .map(|(member, _)| *member)
             .collect();
-        // Not again before another full wait, should the record get lost.
+        // Starts another full wait, so that the eviction is repeated if the record is lost.
         for member in &due {
             self.silent_since.insert(*member, now);
         }
--- a/crates/guava-state/src/intents.rs
+++ b/crates/guava-state/src/intents.rs
@@ -1,44 +1,44 @@
 //! The intent rule: at each offset all daemons agree which incarnation may dispatch a key.
 //!
-//! An intent is accepted only while its key's window has not been pruned, and a key is pruned only
-//! when its window has ended by the same mark. The two conditions exclude each other, so a pruned
-//! key can never be taken a second time, whatever any clock says: a wrong clock costs refusals,
-//! never a second run.
+//! Accepting an intent and pruning a key compare the end of the key's window with the same
+//! `pruned_to` time: an intent is accepted only if the window ends after it, a key is pruned only
+//! if the window does not. The two conditions exclude each other, so a pruned key can never be held
+//! a second time, whatever any clock reads: a wrong clock causes refusals, never a second run.
 
 use crate::IntentEntry;
 use guava_types::{CallKey, Incarnation, RecordId, WallTime};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How far log time must move before keys are pruned again, in milliseconds.
+/// Advance of log time after which keys are pruned again, in milliseconds.
 const PRUNE_STEP_MS: u64 = 10_000;
 
-/// Who may dispatch a key.
+/// The intent that holds a key, and the incarnation that may dispatch it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldIntent {
-    /// The intent that came first.
+    /// The accepted intent.
     pub id: RecordId,
     /// The only incarnation that may dispatch it.
     pub holder: Incarnation,
 }
 
-/// What the reducer decided on one intent.
+/// Decision on one intent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum IntentVerdict {
     /// The author holds the key.
     Held,
-    /// Another intent came first.
+    /// Another intent holds the key.
     Lost {
-        /// Whose.
+        /// The incarnation that may dispatch the key.
         holder: Incarnation,
     },
-    /// Its author had released it before it arrived.
+    /// The intent's release is earlier in the log than the intent.
     Voided,
-    /// The key's window has ended.
+    /// The key's window has been pruned.
     Expired,
 }
 
-/// All keys inside their windows.
+/// The keys whose windows have not been pruned.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IntentTable {
     held: BTreeMap<CallKey, HeldIntent>,
@@ -47,12 +47,12 @@
 }
 
 impl IntentTable {
-    /// The intent that holds a key.
+    /// The intent that holds a key, or `None` if the key is free or expired.
     pub fn holder(&self, key: &CallKey) -> Option<&HeldIntent> {
         self.held.get(key)
     }
 
-    /// How many keys are held.
+    /// Number of keys held.
     pub fn len(&self) -> usize {
         self.held.len()
     }
@@ -62,15 +62,20 @@
         self.held.is_empty()
     }
 
-    /// Whether a key's window has been pruned, so that it can't be known whether it ran.
+    /// Whether a key's window has been pruned, so that it is unknown whether the call ran.
     pub fn is_expired(&self, key: &CallKey) -> bool {
         key.key.window_end_wall().is_none_or(|end| end <= self.pruned_to)
     }
 
-    pub(crate) fn take(&mut self, entry: &IntentEntry, author: Incarnation) -> IntentVerdict {
-        // A release may overtake the append that it releases: the log can apply an append long
-        // after its answer timed out. Without the mark the late intent would hold the key for an
-        // incarnation that has already said "not run", and nobody could run it any more.
+    pub(crate) fn note_intent(
+        &mut self,
+        entry: &IntentEntry,
+        author: Incarnation,
+    ) -> IntentVerdict {
+        // A release can be in the log before the intent that it releases: the log can apply an
+        // append long after its answer timed out. Without the entry in `voided` the late intent
+        // would hold the key for an incarnation that has already answered "not run", and no
+        // incarnation could run the call.
         if self.voided.contains_key(&entry.id) {
             return IntentVerdict::Voided;
         }
@@ -90,8 +95,8 @@
         if let Some(held) = self.held.get(&entry.key)
             && held.id == entry.id
         {
-            // Only the holder knows that no byte was sent; a release by anybody else would let a
-            // second incarnation dispatch a key that may be running.
+            // Only the holder knows that no byte was sent; a release by another incarnation would
+            // allow a second dispatch of a call that may be running.
             if held.holder != author {
                 return;
             }
@@ -107,8 +112,9 @@
             return;
         }
         self.pruned_to = log_time;
-        let live = |key: &CallKey| key.key.window_end_wall().is_some_and(|end| end > log_time);
-        self.held.retain(|key, _| live(key));
-        self.voided.retain(|_, key| live(key));
+        let is_unexpired =
+            |key: &CallKey| key.key.window_end_wall().is_some_and(|end| end > log_time);
+        self.held.retain(|key, _| is_unexpired(key));
+        self.voided.retain(|_, key| is_unexpired(key));
     }
 }
--- a/crates/guava-state/src/lib.rs
+++ b/crates/guava-state/src/lib.rs
@@ -1,7 +1,7 @@
 //! The state that all daemons share, folded from the platform's log by one pure reducer.
 //!
-//! Nothing here reads a clock or does I/O: every daemon that has folded the same offsets holds the
-//! same state, whatever its data centre or its start.
+//! Nothing in this crate reads a clock or does I/O: all daemons that have folded the same offsets
+//! hold the same state, in any data centre and whenever they started.
 
 mod eviction;
 mod freshness;
--- a/crates/guava-state/src/record.rs
+++ b/crates/guava-state/src/record.rs
@@ -1,4 +1,4 @@
-//! Records of the platform's log and their codec.
+//! Records of the platform's log, and their encoding as JSON.
 
 use crate::{ConfigObject, ObjectKey};
 use guava_types::{
@@ -8,151 +8,152 @@
 use snafu::{ResultExt, Snafu, ensure};
 use std::net::SocketAddr;
 
-/// Largest record that is written or read, in bytes.
+/// Size limit of an encoded record, in bytes; larger ones are neither written nor read.
 pub const MAX_RECORD_BYTES: usize = 4 << 20;
 
-/// Why bytes of the log are no record.
+/// Why a record can't be encoded or decoded.
 #[derive(Debug, Snafu)]
 pub enum RecordError {
-    /// Over the bound.
-    #[snafu(display("record of {length} bytes is over the bound of {MAX_RECORD_BYTES}"))]
+    /// The record is over [`MAX_RECORD_BYTES`].
+    #[snafu(display("record of {length} bytes is over the limit of {MAX_RECORD_BYTES}"))]
     TooLarge {
-        /// Its length.
+        /// The record's length in bytes.
         length: usize,
     },
-    /// Not a record's JSON.
+    /// The JSON of a record can't be written or parsed.
     #[snafu(display("record does not parse: {source}"))]
     Syntax {
-        /// What the parser says.
+        /// The JSON error.
         source: serde_json::Error,
     },
 }
 
-/// A record: who wrote it, when by its own wall clock, and what it says.
+/// One record of the log with its author and the author's wall-clock time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LogRecord {
-    /// Kept across retries of the append, so that a second copy is seen as one.
+    /// Stays the same across retries of the append, so that a duplicate is recognised.
     pub id: RecordId,
     /// The incarnation that wrote it.
     pub author: Incarnation,
-    /// The author's wall clock; only ever moves the pruning of expired keys.
+    /// The author's wall clock. Used only to advance log time, which prunes expired keys.
     pub wall: WallTime,
-    /// What it says.
+    /// The record's content.
     pub body: RecordBody,
 }
 
 impl LogRecord {
-    /// The bytes to append.
+    /// Encodes the record for the log; fails if it is over [`MAX_RECORD_BYTES`].
     pub fn encode(&self) -> Result<Vec<u8>, RecordError> {
         let bytes = serde_json::to_vec(self).context(SyntaxSnafu)?;
         ensure!(bytes.len() <= MAX_RECORD_BYTES, TooLargeSnafu { length: bytes.len() });
         Ok(bytes)
     }
 
-    /// Reads a record from the log's bytes.
+    /// Decodes a record; fails on bytes that are too long or no record.
     pub fn decode(bytes: &[u8]) -> Result<Self, RecordError> {
         ensure!(bytes.len() <= MAX_RECORD_BYTES, TooLargeSnafu { length: bytes.len() });
         serde_json::from_slice(bytes).context(SyntaxSnafu)
     }
 }
 
-/// What a record says.
+/// Content of a record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RecordBody {
-    /// An operator's change.
+    /// An operator changes a configured object.
     Change(ChangeRequest),
     /// Intents to dispatch non-idempotent calls, committed together.
     Intents(Vec<IntentEntry>),
-    /// The author's intents that it gave up before any byte was sent.
+    /// The author's intents that it abandoned before it sent any byte of the calls.
     Releases(Vec<IntentEntry>),
     /// A daemon starts.
     Join(MemberEntry),
-    /// The author leaves in order; its successor keeps the answers it held.
+    /// The author leaves; its successor holds its answers from now on.
     Leave {
-        /// The incarnation that took over its answers.
+        /// The incarnation that took over the answers, if any.
         successor: Option<Incarnation>,
     },
-    /// A daemon has been silent too long.
+    /// A silent daemon is taken off the roster.
     Evict {
-        /// Which one.
+        /// The evicted daemon.
         incarnation: Incarnation,
     },
-    /// A lease is taken or renewed by the author.
+    /// The author takes or renews a lease.
     Lease(LeaseRequest),
-    /// A request is stopped: upstreams end under it.
+    /// A request is quarantined: it was in flight at several crashes of upstreams.
     Stop {
-        /// Which.
+        /// The quarantined request.
         request: RequestDigest,
-        /// How often it has been stopped.
+        /// How often it has been quarantined.
         times: u32,
     },
-    /// A request is not stopped any more.
+    /// A request is released from quarantine.
     Unstop {
-        /// Which.
+        /// The released request.
         request: RequestDigest,
     },
-    /// A part of the whole state as of an offset.
+    /// A chunk of the complete state as of an offset.
     Snapshot(SnapshotPart),
 }
 
 /// A change of one configured object.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChangeRequest {
-    /// Who asked, for the history.
+    /// Operator that requested the change, for the history.
     pub operator: Box<str>,
-    /// Which object.
+    /// The object to change.
     pub object: ObjectKey,
-    /// The revision that the change was made against.
+    /// Revision that the change was made against; the change is refused if another one is in force.
     pub against: Offset,
-    /// The new object, or nothing to delete it.
+    /// The new object, or `None` to delete it.
     pub value: Option<ConfigObject>,
 }
 
-/// One intent, or the release of one.
+/// One intent to dispatch a call, or the release of one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IntentEntry {
     /// Identity of the intent.
     pub id: RecordId,
-    /// The call's key.
+    /// The idempotency key of the call.
     pub key: CallKey,
 }
 
 /// A daemon on the roster.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberEntry {
-    /// Its configured name.
+    /// The daemon's configured name.
     pub name: MemberName,
-    /// Where it stands.
+    /// Data centre that the daemon runs in.
     pub data_centre: DataCentre,
-    /// Where callers reach it.
+    /// Address for callers.
     pub caller_address: SocketAddr,
-    /// Where the other daemons reach it.
+    /// Address for the other daemons.
     pub peer_address: SocketAddr,
 }
 
-/// A lease taken or renewed.
+/// A request to take or renew a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Which lease.
+    /// Name of the lease.
     pub name: Box<str>,
-    /// Offset after the record that the author read last for this lease; zero for none.
+    /// Offset after the last record that the author read for this lease; zero for none. The request
+    /// is refused if a later one was accepted.
     pub against: Offset,
-    /// How long it holds, in milliseconds from before the append was sent.
+    /// Term in milliseconds, counted from a moment before the append was sent.
     pub term_ms: u64,
 }
 
-/// One part of a snapshot of the state: a large state does not fit into one record.
+/// One chunk of a snapshot: a large state does not fit into one record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotPart {
     /// The first offset that the state does not contain.
     pub next: Offset,
-    /// BLAKE3 digest of the whole state's text, in hexadecimal.
+    /// BLAKE3 digest of the complete state's text, in hexadecimal.
     pub digest: Box<str>,
-    /// Which part this is, from zero.
+    /// Index of this chunk, from zero.
     pub part: u32,
-    /// How many parts there are.
+    /// Number of chunks in the snapshot.
     pub parts: u32,
-    /// This part of the state's JSON text.
+    /// This chunk of the state's JSON text.
     pub text: Box<str>,
 }
--- a/crates/guava-state/src/reducer.rs
+++ b/crates/guava-state/src/reducer.rs
@@ -1,4 +1,5 @@
-//! The reducer: one record at a time, without clock, randomness or I/O.
+//! The reducer: applies log records to the shared state one at a time, without clock, randomness or
+//! I/O.
 
 use crate::{
     ChangeRequest, ConfigObject, CustomerSpec, IntentTable, IntentVerdict, LeaseEntry,
@@ -12,82 +13,82 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Changes kept for the history and for telling a repeated append from a second change.
-const HISTORY_LEN: usize = 512;
-/// Departed incarnations whose successors are kept.
-const SUCCESSORS_LEN: usize = 4_096;
+/// Changes kept for the history and to distinguish a repeated append from a new change.
+const MAX_HISTORY_ENTRIES: usize = 512;
+/// Incarnations that left whose successors are kept; superseded incarnations have the same limit.
+const MAX_SUCCESSORS: usize = 4_096;
 
-/// Stopped requests kept: each has cost some upstreams.
-const STOPS_LEN: usize = 256;
+/// Quarantined requests kept. Each of them was in flight at several crashes, so they are few.
+const MAX_QUARANTINES: usize = 256;
 
-/// How a change ended.
+/// Decision on a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChangeVerdict {
-    /// In force from this revision on.
+    /// The change is in force.
     Accepted {
         /// The object's new revision.
         revision: Offset,
     },
-    /// Another change came first.
+    /// The object's revision is not the one that the change was made against.
     Raced {
         /// The revision in force.
         current: Offset,
-        /// Who made it.
+        /// Operator of the change in force; `unknown` if the history no longer has it.
         winner: Box<str>,
     },
     /// The value is not allowed.
     Invalid {
-        /// Why.
+        /// The field and the rule that it breaks.
         reason: Box<str>,
     },
 }
 
-/// One line of the history.
+/// One decided change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HistoryEntry {
-    /// The record's identity.
+    /// Identity of the change's record.
     pub id: RecordId,
-    /// Where it stands in the log.
+    /// Offset of the record in the log.
     pub offset: Offset,
-    /// Who asked.
+    /// Operator that requested the change.
     pub operator: Box<str>,
-    /// Which object.
+    /// The changed object.
     pub object: ObjectKey,
-    /// How it ended.
+    /// Decision on the change.
     pub verdict: ChangeVerdict,
 }
 
-/// What folding one record did.
+/// Effect of folding one record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FoldOutcome {
-    /// The bytes are no record; all daemons skip them alike.
+    /// The bytes are not a valid record; every daemon skips them.
     Skipped {
-        /// Why.
+        /// The decoder's error.
         reason: Box<str>,
     },
-    /// The offset had been folded before.
+    /// The offset was folded before; the state is unchanged.
     Repeated,
-    /// A change was judged.
+    /// A change was accepted or refused.
     Change {
-        /// The record.
+        /// The record's identity.
         id: RecordId,
-        /// How it ended.
+        /// Decision on the change.
         verdict: ChangeVerdict,
     },
-    /// Intents were judged.
+    /// Decision on each intent of the record, in their order.
     Intents(Vec<(RecordId, IntentVerdict)>),
-    /// The roster, a lease, releases or a snapshot.
+    /// Any other record: the roster, a lease, releases, a quarantine or a snapshot.
     Other {
-        /// The record.
+        /// The record's identity.
         id: RecordId,
     },
 }
 
 /// The shared state after all records before `next`.
 ///
-/// Ordered maps, against the house's rule of fast hash maps: the state's text must be the same on
-/// every daemon, because its digest is compared.
+/// Ordered maps instead of the fast hash maps used elsewhere: daemons compare the digest of the
+/// state's text, so the text must be the same on every daemon.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FleetState {
     next: Offset,
@@ -101,13 +102,13 @@
     history: VecDeque<HistoryEntry>,
     snapshot_at: Offset,
     superseded: VecDeque<Incarnation>,
-    /// Requests under which upstreams end, and how often each was stopped.
+    /// Quarantined requests, and how often each was quarantined.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     stops: BTreeMap<RequestDigest, u32>,
 }
 
 impl FleetState {
-    /// The first offset not folded yet.
+    /// The first offset that has not been folded.
     pub fn next(&self) -> Offset {
         self.next
     }
@@ -117,27 +118,27 @@
         self.snapshot_at
     }
 
-    /// The daemons on the roster.
+    /// The daemons on the roster, by incarnation.
     pub fn members(&self) -> &BTreeMap<Incarnation, MemberEntry> {
         &self.members
     }
 
-    /// Whether another incarnation has taken this one's name, for good.
+    /// Whether a later incarnation of the same name has replaced this one; it can't join again.
     pub fn is_superseded(&self, incarnation: Incarnation) -> bool {
         self.superseded.contains(&incarnation)
     }
 
-    /// The intents inside their windows.
+    /// The intents whose keys have not expired.
     pub fn intents(&self) -> &IntentTable {
         &self.intents
     }
 
-    /// Requests under which upstreams end, and how often each was stopped.
+    /// Crash-inducing requests in quarantine, and how often each was quarantined.
     pub fn stops(&self) -> &BTreeMap<RequestDigest, u32> {
         &self.stops
     }
 
-    /// A lease.
+    /// The lease of this name, or `None` if it was never taken.
     pub fn lease(&self, name: &str) -> Option<&LeaseEntry> {
         self.leases.get(name)
     }
@@ -147,12 +148,12 @@
         &self.leases
     }
 
-    /// Changes, oldest first.
+    /// Decided changes, accepted and refused, oldest first; older ones are dropped.
     pub fn history(&self) -> &VecDeque<HistoryEntry> {
         &self.history
     }
 
-    /// All objects ever set.
+    /// All objects that were ever set, deleted ones included.
     pub fn objects(&self) -> &BTreeMap<ObjectKey, StoredObject> {
         &self.objects
     }
@@ -163,7 +164,7 @@
         self.objects.get(key).cloned().unwrap_or(none)
     }
 
-    /// A customer.
+    /// A customer's settings, or `None` if it is not configured.
     pub fn customer(&self, id: &CustomerId) -> Option<&CustomerSpec> {
         match self.objects.get(&ObjectKey::customer(id))?.object.as_ref()? {
             ConfigObject::Customer(spec) => Some(spec),
@@ -171,7 +172,7 @@
         }
     }
 
-    /// A model.
+    /// A model's settings, or `None` if it is not configured.
     pub fn model(&self, name: &ModelName) -> Option<&ModelSpec> {
         match self.objects.get(&ObjectKey::model(name))?.object.as_ref()? {
             ConfigObject::Model(spec) => Some(spec),
@@ -179,7 +180,7 @@
         }
     }
 
-    /// A service.
+    /// A service's settings, or `None` if it is not configured.
     pub fn service(&self, name: &ServiceName) -> Option<&ServiceSpec> {
         match self.objects.get(&ObjectKey::service(name))?.object.as_ref()? {
             ConfigObject::Service(spec) => Some(spec),
@@ -187,7 +188,7 @@
         }
     }
 
-    /// An upstream.
+    /// An upstream's settings, or `None` if it is not configured.
     pub fn upstream(&self, id: &UpstreamId) -> Option<&UpstreamSpec> {
         match self.objects.get(&ObjectKey::upstream(id))?.object.as_ref()? {
             ConfigObject::Upstream(spec) => Some(spec),
@@ -195,7 +196,7 @@
         }
     }
 
-    /// All upstreams.
+    /// All configured upstreams.
     pub fn upstreams(&self) -> impl Iterator<Item = (UpstreamId, &UpstreamSpec)> {
         self.objects.iter().filter_map(|(key, stored)| match stored.object.as_ref()? {
             ConfigObject::Upstream(spec) => Some((key.name.parse().ok()?, spec)),
@@ -203,7 +204,7 @@
         })
     }
 
-    /// Whether a data centre's upstreams get no new work.
+    /// Whether a data centre is drained: its upstreams get no new work.
     pub fn is_drained(&self, data_centre: &DataCentre) -> bool {
         let stored = self.objects.get(&ObjectKey::data_centre(data_centre));
         match stored.and_then(|stored| stored.object.as_ref()) {
@@ -212,7 +213,7 @@
         }
     }
 
-    /// The weights of the measures.
+    /// The weights of the routing measures; the default if none are configured.
     pub fn profile(&self) -> WeightProfile {
         let stored = self.objects.get(&ObjectKey::profile());
         match stored.and_then(|stored| stored.object.as_ref()) {
@@ -221,7 +222,8 @@
         }
     }
 
-    /// The incarnation that now keeps the answers of another, following those that left in order.
+    /// The incarnation that now holds the answers of another: follows the successors named by those
+    /// that left.
     pub fn successor_of(&self, incarnation: Incarnation) -> Incarnation {
         let mut current = incarnation;
         for _ in 0..self.successors.len() {
@@ -235,7 +237,7 @@
 
     /// Folds the bytes found at an offset.
     ///
-    /// Offsets must come in order; one that was folded before changes nothing.
+    /// Offsets must ascend; folding one that was folded before changes nothing.
     pub fn fold(&mut self, offset: Offset, bytes: &[u8]) -> FoldOutcome {
         if offset < self.next {
             return FoldOutcome::Repeated;
@@ -252,12 +254,12 @@
         let author = record.author;
         let outcome = match record.body {
             RecordBody::Change(change) => {
-                let verdict = self.judge_change(offset, id, change);
+                let verdict = self.decide_change(offset, id, change);
                 FoldOutcome::Change { id, verdict }
             }
             RecordBody::Intents(entries) => {
-                let judge = |entry| (self.intents.take(entry, author), entry.id);
-                let verdicts = entries.iter().map(judge).map(|(verdict, id)| (id, verdict));
+                let decide = |entry| (self.intents.note_intent(entry, author), entry.id);
+                let verdicts = entries.iter().map(decide).map(|(verdict, id)| (id, verdict));
                 FoldOutcome::Intents(verdicts.collect())
             }
             RecordBody::Releases(entries) => {
@@ -278,11 +280,11 @@
                 FoldOutcome::Other { id }
             }
             RecordBody::Lease(request) => {
-                self.judge_lease(offset, author, request);
+                self.decide_lease(offset, author, request);
                 FoldOutcome::Other { id }
             }
             RecordBody::Stop { request, times } => {
-                self.note_stop(request, times);
+                self.note_quarantine(request, times);
                 FoldOutcome::Other { id }
             }
             RecordBody::Unstop { request } => {
@@ -300,11 +302,11 @@
         outcome
     }
 
-    /// A daemon that starts takes the place of the one that had its name.
+    /// Adds a starting daemon to the roster and removes earlier incarnations of the same name.
     ///
-    /// Dead members would else count until they are evicted, and a few restarts within that time
-    /// would leave the living without a majority: every change refused, every daemon cut from the
-    /// log stale.
+    /// Otherwise incarnations that exited would count until their eviction, and a few restarts
+    /// within that time would leave the running daemons without a majority: every change would be
+    /// refused, and every daemon that can't read the log would be stale.
     fn join(&mut self, author: Incarnation, member: MemberEntry) {
         if self.superseded.contains(&author) {
             return;
@@ -315,7 +317,7 @@
         let replaced: Vec<Incarnation> = self.members.iter().filter_map(same_name).collect();
         for incarnation in replaced {
             self.remove_member(incarnation);
-            if self.superseded.len() == SUCCESSORS_LEN {
+            if self.superseded.len() == MAX_SUCCESSORS {
                 self.superseded.pop_front();
             }
             self.superseded.push_back(incarnation);
@@ -330,29 +332,30 @@
 
     fn note_successor(&mut self, from: Incarnation, successor: Option<Incarnation>) {
         let Some(successor) = successor else { return };
-        if self.successors.len() == SUCCESSORS_LEN {
+        if self.successors.len() == MAX_SUCCESSORS {
             self.successors.pop_front();
         }
         self.successors.push_back((from, successor));
     }
 
-    fn note_stop(&mut self, request: RequestDigest, times: u32) {
-        if self.stops.len() >= STOPS_LEN && !self.stops.contains_key(&request) {
+    fn note_quarantine(&mut self, request: RequestDigest, times: u32) {
+        if self.stops.len() >= MAX_QUARANTINES && !self.stops.contains_key(&request) {
             self.stops.pop_first();
         }
         let known = self.stops.entry(request).or_default();
         *known = times.max(*known);
     }
 
-    fn judge_change(
+    fn decide_change(
         &mut self,
         offset: Offset,
         id: RecordId,
         change: ChangeRequest,
     ) -> ChangeVerdict {
-        // The append's answer can be lost after it took effect; the operator's daemon then appends
-        // the same record again. Judged anew, the copy would lose against itself and the operator
-        // would read "raced" for a change that is in force.
+        // The answer to an append can be lost after the append took effect; the operator's daemon
+        // then appends the same record again. Without this check the copy would be compared with
+        // the revision that the first one set, and the operator would get "raced" for a change that
+        // is in force.
         if let Some(entry) = self.history.iter().find(|entry| entry.id == id) {
             return entry.verdict.clone();
         }
@@ -361,7 +364,7 @@
             let stored = StoredObject { revision, object: change.value };
             self.objects.insert(change.object.clone(), stored);
         }
-        if self.history.len() == HISTORY_LEN {
+        if self.history.len() == MAX_HISTORY_ENTRIES {
             self.history.pop_front();
         }
         self.history.push_back(HistoryEntry {
@@ -403,7 +406,7 @@
             .map_or("unknown".into(), |entry| entry.operator.clone())
     }
 
-    fn judge_lease(&mut self, offset: Offset, author: Incarnation, request: LeaseRequest) {
+    fn decide_lease(&mut self, offset: Offset, author: Incarnation, request: LeaseRequest) {
         let current = self.leases.get(&request.name);
         let renewed = current.map_or(Offset(0), |entry| entry.renewed);
         if renewed != request.against {
@@ -418,8 +421,8 @@
         self.leases.insert(request.name, entry);
     }
 
-    /// Moves log time to the second latest stamp of the members, so that one clock that runs ahead
-    /// can't end the windows of all keys.
+    /// Advances log time to the second latest wall-clock stamp of the members, so that one clock
+    /// that runs ahead can't expire all keys.
     fn advance_log_time(&mut self, author: Incarnation, wall: WallTime) {
         if self.members.contains_key(&author) {
             let stamp = self.stamps.entry(author).or_default();
--- a/crates/guava-state/src/snapshot.rs
+++ b/crates/guava-state/src/snapshot.rs
@@ -1,17 +1,17 @@
-//! Snapshots: the state as a record, because the log keeps records for a limited time.
+//! Snapshots: the state as records of the log, because the log keeps records for a limited time.
 //!
-//! A snapshot counts only if every record after it is still readable. An old one, appended late by
-//! a daemon that was paused, is therefore either unusable or followed by all that came after it;
-//! it can't take anybody back.
+//! A snapshot is used only if every record after it is still readable. An old one, appended late
+//! by a daemon that was paused, is therefore either unusable or completed by the records after it;
+//! it can't restore an outdated state.
 
 use crate::{FleetState, LogRecord, RecordBody, SnapshotPart};
 use guava_types::{FastMap, Offset};
 use snafu::{ResultExt, Snafu, ensure};
 
-/// Bytes of a state's text in one record.
+/// Size limit of a chunk of a state's text in one record, in bytes.
 pub const PART_BYTES: usize = 512 << 10;
 
-/// A whole state as text.
+/// A complete state as text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StateText {
     /// The first offset that the state does not contain.
@@ -22,24 +22,24 @@
     pub text: Box<str>,
 }
 
-/// Why no state could be restored.
+/// Why a state can't be written or restored.
 #[derive(Debug, Snafu)]
 pub enum SnapshotError {
-    /// The text is no state.
+    /// The JSON of a state can't be written or parsed.
     #[snafu(display("snapshot does not parse: {source}"))]
     Syntax {
-        /// What the parser says.
+        /// The JSON error.
         source: serde_json::Error,
     },
-    /// The text is not what was written.
+    /// The digest of the text is not the one that was written.
     #[snafu(display("snapshot's digest is {found}, expected {expected}"))]
     Digest {
-        /// The digest of what was read.
+        /// Digest of the text that was read.
         found: Box<str>,
-        /// The digest that was written.
+        /// Digest that was written.
         expected: Box<str>,
     },
-    /// Old records have expired and no usable snapshot is left.
+    /// Old records have expired and there is no usable snapshot.
     #[snafu(display("records before {first} have expired and no snapshot covers them"))]
     Uncovered {
         /// The first readable offset.
@@ -47,12 +47,12 @@
     },
 }
 
-/// Digest of a state's text, in hexadecimal.
+/// BLAKE3 digest of a state's text, in hexadecimal.
 pub fn state_digest(text: &str) -> Box<str> {
     blake3::hash(text.as_bytes()).to_hex().as_str().into()
 }
 
-/// A state's text.
+/// Encodes a state as text with its digest.
 pub fn state_text(state: &FleetState) -> Result<StateText, SnapshotError> {
     let text: Box<str> = serde_json::to_string(state).context(SyntaxSnafu)?.into();
     Ok(StateText { next: state.next(), digest: state_digest(&text), text })
@@ -70,7 +70,8 @@
     parts
 }
 
-/// A state's text in parts of at most so many bytes each.
+/// Splits a state's text into chunks of at most `part_bytes` bytes; at least 4, the length of the
+/// longest UTF-8 character.
 pub fn snapshot_parts(state: &StateText, part_bytes: usize) -> Vec<SnapshotPart> {
     let texts = split(&state.text, part_bytes);
     let parts = u32::try_from(texts.len()).unwrap_or(u32::MAX);
@@ -86,58 +87,59 @@
         .collect()
 }
 
-/// Reads a state back, checking its digest.
+/// Decodes a state; fails if the text does not have the expected digest.
 pub fn state_from_json(text: &str, expected: &str) -> Result<FleetState, SnapshotError> {
     let found = state_digest(text);
     ensure!(*found == *expected, DigestSnafu { found, expected });
     serde_json::from_str(text).context(SyntaxSnafu)
 }
 
-/// Parts found so far, by the whole that they belong to.
+/// Chunks found in the log, by the snapshot that they belong to.
 #[derive(Default)]
-struct PartCollector {
-    wholes: FastMap<(Offset, Box<str>), Vec<SnapshotPart>>,
+struct ChunkCollector {
+    snapshots: FastMap<(Offset, Box<str>), Vec<SnapshotPart>>,
 }
 
-impl PartCollector {
-    fn take(&mut self, bytes: &[u8]) {
+impl ChunkCollector {
+    fn note_record(&mut self, bytes: &[u8]) {
         let Ok(record) = LogRecord::decode(bytes) else { return };
         if let RecordBody::Snapshot(part) = record.body {
-            self.wholes.entry((part.next, part.digest.clone())).or_default().push(part);
+            self.snapshots.entry((part.next, part.digest.clone())).or_default().push(part);
         }
     }
 
-    /// The newest whole state after which every record is still readable.
+    /// The newest complete state after which every record is still readable.
     fn newest(self, first: Offset) -> Option<FleetState> {
-        let mut wholes: Vec<_> = self.wholes.into_iter().collect();
-        wholes.sort_by_key(|((next, _), _)| std::cmp::Reverse(*next));
-        wholes
+        let mut snapshots: Vec<_> = self.snapshots.into_iter().collect();
+        snapshots.sort_by_key(|((next, _), _)| std::cmp::Reverse(*next));
+        snapshots
             .into_iter()
             .take_while(|((next, _), _)| *next >= first)
-            .find_map(|((next, digest), parts)| join_parts(next, &digest, parts))
+            .find_map(|((next, digest), parts)| join_chunks(next, &digest, parts))
     }
 }
 
-fn join_parts(next: Offset, digest: &str, mut parts: Vec<SnapshotPart>) -> Option<FleetState> {
-    // A part whose append was repeated is there twice.
+fn join_chunks(next: Offset, digest: &str, mut parts: Vec<SnapshotPart>) -> Option<FleetState> {
+    // A chunk whose append was retried can be in the log twice.
     parts.sort_by_key(|part| part.part);
     parts.dedup_by_key(|part| part.part);
     let text: String = parts.iter().map(|part| &*part.text).collect();
-    // A missing part gives another digest.
+    // A missing chunk shows as a different digest.
     let state = state_from_json(&text, digest).ok()?;
     (state.next() == next).then_some(state)
 }
 
-/// Folds everything readable, from the newest usable snapshot on.
+/// Restores the state from the newest usable snapshot and the records after it.
 ///
-/// `first` is the first offset that the log still keeps; `records` are all from there to its end.
+/// `first` is the first readable offset of the log; `records` are all records from there to its
+/// end. Fails if `first` is not zero and no snapshot is usable.
 pub fn restore(
     first: Offset,
     records: &[(Offset, Box<[u8]>)],
 ) -> Result<FleetState, SnapshotError> {
-    let mut parts = PartCollector::default();
-    records.iter().for_each(|(_, bytes)| parts.take(bytes));
-    let mut state = match parts.newest(first) {
+    let mut collector = ChunkCollector::default();
+    records.iter().for_each(|(_, bytes)| collector.note_record(bytes));
+    let mut state = match collector.newest(first) {
         Some(state) => state,
         None if first == Offset(0) => FleetState::default(),
         None => return UncoveredSnafu { first }.fail(),
--- a/crates/guava-state/tests/eviction.rs
+++ b/crates/guava-state/tests/eviction.rs
@@ -1,4 +1,4 @@
-//! The eviction rule.
+//! Tests of the eviction rule.
 
 use guava_state::{EVICT_AFTER_MS, EvictionWatch};
 use guava_types::{Incarnation, Moment};
@@ -7,10 +7,9 @@
 
 #[test]
 fn minority_evicts_nobody() {
-    // Symptom: a change accepted by one daemon is not in force at the others, which serve on.
-    // Sequence: a daemon is cut from its peers but reads the log; it takes the silent majority off
-    // the roster and is then the majority of what is left.
-    // Cause: silence alone is taken for death.
+    // Guards against a change that is accepted by one daemon while the others, which continue to
+    // serve, don't have it. A daemon that reads the log but reaches no peer would evict the silent
+    // majority and become the majority of the remaining roster, if silence alone sufficed.
     let mut watch = EvictionWatch::default();
     watch.due(&SILENT, false, 0, Moment(1_000));
 
@@ -20,7 +19,7 @@
 }
 
 #[test]
-fn majority_evicts_after_the_wait_and_once() {
+fn majority_evicts_once_after_the_full_silence() {
     let mut watch = EvictionWatch::default();
     let start = Moment(1_000);
     let early = watch.due(&SILENT, true, 0, start);
@@ -35,7 +34,7 @@
 }
 
 #[test]
-fn member_that_is_heard_again_starts_anew() {
+fn member_that_was_reachable_again_is_silent_only_from_then_on() {
     let mut watch = EvictionWatch::default();
     watch.due(&SILENT, true, 0, Moment(1_000));
     watch.due(&[], true, 0, Moment(20_000));
--- a/crates/guava-state/tests/reducer.rs
+++ b/crates/guava-state/tests/reducer.rs
@@ -1,4 +1,4 @@
-//! The reducer's rules, as properties over random orders of records.
+//! Tests of the reducer: properties over random orders of records, and single cases.
 
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
@@ -11,12 +11,12 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-/// Seed of all properties in this file; a failing case prints its own input.
+/// Seed of all properties in this file; a failing case prints its input.
 const SEED: [u8; 32] = *b"guavatiller: reducer properties!";
 const CASES: u32 = 256;
 
-/// Wall time at which the keys of these tests were minted, in milliseconds.
-const MINTED_MS: u64 = 1_700_000_000_000;
+/// Wall time at which the keys of these tests were issued, in milliseconds.
+const ISSUED_MS: u64 = 1_700_000_000_000;
 
 fn runner() -> TestRunner {
     let config = Config { cases: CASES, failure_persistence: None, ..Config::default() };
@@ -27,8 +27,8 @@
     // A version 7 UUID: 48 bits of milliseconds, version, variant, and the number.
     let uuid = format!(
         "{:08x}-{:04x}-7000-8000-0000000000{number:02x}",
-        MINTED_MS >> 16,
-        MINTED_MS & 0xffff
+        ISSUED_MS >> 16,
+        ISSUED_MS & 0xffff
     );
     format!("acme/{uuid}").parse().unwrap()
 }
@@ -37,7 +37,7 @@
     LogRecord {
         id: RecordId(id),
         author: Incarnation(u128::from(author)),
-        wall: WallTime(MINTED_MS + wall_ms),
+        wall: WallTime(ISSUED_MS + wall_ms),
         body,
     }
 }
@@ -60,7 +60,7 @@
     }
 }
 
-/// Any record: few authors, keys and revisions, so that they meet.
+/// Any record: few authors, keys and revisions, so that conflicts occur.
 fn any_record() -> impl Strategy<Value = LogRecord> {
     let intent = (0..6_u128, 0..4_u8)
         .prop_map(|(id, number)| IntentEntry { id: RecordId(id), key: key(number) });
@@ -98,10 +98,8 @@
 
 #[test]
 fn any_delivery_of_the_log_folds_to_the_same_state() {
-    // Symptom: two daemons disagree.
-    // Sequence: one reads the log once; another reads parts of it again, restarts from a snapshot
-    // in the middle, and reads on.
-    // Cause: folding depends on how the records came.
+    // Guards against daemons with different states after the same records: one reads the log once,
+    // another restarts from a snapshot in the middle, reads some records again and continues.
     let input = (any_log(), any::<prop::sample::Index>(), any::<prop::sample::Index>());
     runner()
         .run(&input, |(log, cut, back)| {
@@ -124,9 +122,9 @@
 
 #[test]
 fn a_key_is_held_by_at_most_one_intent_between_releases() {
-    // Symptom: two incarnations dispatch one key.
-    // Sequence: intents, repeats, releases by anybody, late arrivals and wrong clocks in any order.
-    // Cause: a key is given a second time while the first holder may still dispatch it.
+    // Guards against two incarnations that dispatch one key, because a second intent is accepted
+    // while the first holder may still dispatch. The log has intents, repeats, releases by any
+    // incarnation, late records and wrong clocks in any order.
     runner()
         .run(&any_log(), |log| {
             let mut state = FleetState::default();
@@ -162,10 +160,9 @@
 }
 
 #[test]
-fn revisions_never_go_back() {
-    // Symptom: an accepted change reverts.
-    // Sequence: changes against any revisions, in any order, with repeats.
-    // Cause: a late change is accepted against a revision that is no longer in force.
+fn revisions_never_decrease() {
+    // Guards against an accepted change that is reverted, because a late change is accepted against
+    // a revision that is no longer in force. Changes come against any revision, with repeats.
     runner()
         .run(&any_log(), |log| {
             let mut state = FleetState::default();
@@ -184,13 +181,13 @@
 
 #[test]
 fn restore_equals_folding_from_the_start() {
-    // Symptom: a daemon restored from a snapshot differs from one that read everything.
-    // Sequence: snapshots, some of them old, are appended anywhere; old records expire.
-    // Cause: a snapshot is used though records after it are gone, or an old one replaces a newer.
+    // Guards against a restored daemon whose state differs from that of one that read the complete
+    // log: a snapshot is used although records after it have expired, or an old one replaces a
+    // newer one. Snapshots, some of them old, are appended anywhere, and old records expire.
     let input = (any_log(), proptest::collection::vec(any::<prop::sample::Index>(), 1..4));
     runner()
         .run(&input, |(mut log, places)| {
-            // From the front on: an insertion before an earlier one would shift its offsets.
+            // In ascending order: an insertion before an earlier one would shift its offsets.
             let mut places: Vec<usize> = places.iter().map(|at| at.index(log.len() + 1)).collect();
             places.sort_unstable();
             let mut least = 0;
@@ -224,11 +221,10 @@
 }
 
 #[test]
-fn a_pruned_key_is_never_taken_again() {
-    // Symptom: a key runs a second time hours later.
-    // Sequence: a key is held; log time passes its window; an intent with the same key arrives
-    // from a daemon whose clock is far behind.
-    // Cause: pruning and accepting judge the window by different clocks.
+fn a_pruned_key_is_never_held_again() {
+    // Guards against a call that runs a second time hours later: its key is held, log time passes
+    // the key's window, and a daemon whose clock is far behind appends an intent with the same key.
+    // It would be accepted if pruning and accepting compared the window with different clocks.
     let mut state = FleetState::default();
     let join = |number: u8, wall| {
         record(number, u128::from(number), wall, RecordBody::Join(member(number)))
@@ -255,10 +251,9 @@
 }
 
 #[test]
-fn one_fast_clock_ends_no_window() {
-    // Symptom: all callers are told that their keys have expired.
-    // Sequence: one daemon's clock jumps hours ahead.
-    // Cause: log time follows the fastest clock.
+fn one_fast_clock_expires_no_key() {
+    // Guards against refusing all callers' keys as expired after one daemon's clock jumped hours
+    // ahead, because log time follows the fastest clock.
     let mut state = FleetState::default();
     let log = [
         record(1, 1, 0, RecordBody::Join(member(1))),
@@ -277,10 +272,10 @@
 }
 
 #[test]
-fn start_takes_the_place_of_the_same_name() {
-    // Symptom: after a few restarts no change is accepted any more.
-    // Sequence: a daemon is killed and started again several times within the eviction time.
-    // Cause: its dead incarnations count as members, and the living are no majority.
+fn join_replaces_members_of_the_same_name() {
+    // Guards against refusing all changes after a few restarts: a daemon is killed and started
+    // several times within the eviction time, and if its earlier incarnations counted as members,
+    // the running daemons would be no majority.
     let mut state = FleetState::default();
     for number in 0..5_u64 {
         let author = u8::try_from(number).unwrap();
@@ -307,21 +302,22 @@
 }
 
 #[test]
-fn stopped_requests_are_kept_until_they_are_let_go_and_never_too_many() {
-    let stop = |request: u128, times| RecordBody::Stop { request: RequestDigest(request), times };
+fn quarantines_are_kept_until_released_up_to_a_limit() {
+    let quarantine =
+        |request: u128, times| RecordBody::Stop { request: RequestDigest(request), times };
     let mut state = FleetState::default();
     let mut fold = |number: u64, body| {
         let encoded = record(1, u128::from(number), 0, body).encode().unwrap();
         state.fold(Offset(number), &encoded);
     };
 
-    fold(0, stop(1, 2));
-    fold(1, stop(1, 1));
-    fold(2, stop(2, 1));
+    fold(0, quarantine(1, 2));
+    fold(1, quarantine(1, 1));
+    fold(2, quarantine(2, 1));
     fold(3, RecordBody::Unstop { request: RequestDigest(2) });
     let kept = state.stops().clone();
     (0..1_000).for_each(|number| {
-        let encoded = record(1, 100 + u128::from(number), 0, stop(u128::from(number) + 9, 1));
+        let encoded = record(1, 100 + u128::from(number), 0, quarantine(u128::from(number) + 9, 1));
         state.fold(Offset(number + 4), &encoded.encode().unwrap());
     });
 
