--- a/crates/guava-state/tests/reducer.rs
+++ b/crates/guava-state/tests/reducer.rs
@@ -99,7 +99,8 @@
 #[test]
 fn any_delivery_of_the_log_folds_to_the_same_state() {
     // Guards against daemons with different states after the same records: one reads the log once,
-    // another restarts from a snapshot in the middle, reads some records again and continues.
+    // another restarts from a snapshot in the middle, reads some records again and continues. Their
+    // states would differ if folding depended on how the records are delivered.
     let input = (any_log(), any::<prop::sample::Index>(), any::<prop::sample::Index>());
     runner()
         .run(&input, |(log, cut, back)| {
