--- a/crates/guava-state/src/objects.rs
+++ b/crates/guava-state/src/objects.rs
@@ -1,4 +1,4 @@
-//! Configured objects, as operators declare them.
+//! Configured objects as operators declare them, and the bounds of their fields.
 
 use guava_types::{
     CustomerId, DataCentre, LinkRate, ModelName, RequestRate, ServiceName, TokenRate, UpstreamId,
@@ -11,34 +11,34 @@
 use std::net::SocketAddr;
 use std::str::FromStr;
 
-/// Most key hashes, versions or method rules in one object.
-const MAX_LIST: usize = 64;
+/// Bound of key hashes, versions or method rules in one object.
+const MAX_LIST_ENTRIES: usize = 64;
 
 /// Why an object is refused.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 pub enum ObjectError {
-    /// The text names no object.
+    /// The text is not the key of an object.
     #[snafu(display(
         "object: expected kind/name with kind customer, service, model, upstream, profile or \
          data-centre, found {found:?}"
     ))]
-    NoKey {
-        /// The offending text.
+    InvalidKey {
+        /// The text given, at most 100 characters of it.
         found: Box<str>,
     },
-    /// A field's value is not allowed.
+    /// A field's value is not allowed, or a required field has none.
     #[snafu(display("{field}: expected {expected}, found {found}"))]
-    BadField {
-        /// Which field.
+    InvalidField {
+        /// Name of the field.
         field: &'static str,
         /// What is allowed.
         expected: &'static str,
-        /// What was given.
+        /// The value given.
         found: Box<str>,
     },
 }
 
-/// What kind of object a key names.
+/// Kind of object that a key names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ObjectKind {
     /// A customer.
@@ -49,7 +49,7 @@
     Model,
     /// An upstream.
     Upstream,
-    /// The weights of the three measures.
+    /// The weights of the three cost measures.
     Profile,
     /// A data centre.
     DataCentre,
@@ -69,7 +69,7 @@
     Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerializeDisplay, DeserializeFromStr,
 )]
 pub struct ObjectKey {
-    /// What it is.
+    /// Kind of the object.
     pub kind: ObjectKind,
     /// Its name, unique within its kind.
     pub name: Box<str>,
@@ -86,10 +86,10 @@
     type Err = ObjectError;
 
     fn from_str(text: &str) -> Result<Self, ObjectError> {
-        let error = || ObjectError::NoKey { found: text.chars().take(100).collect() };
+        let error = || ObjectError::InvalidKey { found: text.chars().take(100).collect() };
         let (kind, name) = text.split_once('/').ok_or_else(error)?;
         let kind = KIND_NAMES.iter().find(|pair| pair.1 == kind).ok_or_else(error)?.0;
-        // All names share one alphabet, so any of the name types checks it.
+        // All name types accept the same characters, so any of them can check the name.
         name.parse::<UpstreamId>().map_err(|_| error())?;
         Ok(Self { kind, name: name.into() })
     }
@@ -101,9 +101,9 @@
 pub struct CustomerSpec {
     /// BLAKE3 hashes of the accepted keys, in hexadecimal; the keys themselves are not kept.
     pub key_hashes: Vec<Box<str>>,
-    /// Accepted requests over all daemons.
+    /// Limit of accepted requests over all daemons.
     pub rate: RequestRate,
-    /// Requests running at one time over all daemons.
+    /// Limit of requests in flight over all daemons.
     pub concurrency: u32,
 }
 
@@ -119,16 +119,17 @@
     pub idempotent: bool,
 }
 
-/// A plain service: the first rule that matches a call decides, else it is non-idempotent.
+/// A plain service. The first rule that matches a call decides; a call that no rule matches is
+/// non-idempotent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSpec {
-    /// Rules in order.
+    /// Rules in the order in which they are compared.
     pub rules: Vec<MethodRule>,
 }
 
 impl ServiceSpec {
-    /// Whether a call may be repeated.
+    /// Whether a call of this method and path may run more than once.
     pub fn is_idempotent(&self, method: &str, path: &str) -> bool {
         let matches = |rule: &&MethodRule| {
             (&*rule.method == "*" || &*rule.method == method) && path.starts_with(&*rule.path)
@@ -141,15 +142,15 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelSpec {
-    /// Versions present in the weight store.
+    /// Versions in the weight store; at most 64, `current` among them.
     pub versions: Vec<VersionName>,
     /// The version that new requests use.
     pub current: VersionName,
-    /// The version that a roll back returns to.
+    /// The version that a rollback returns to.
     pub previous: Option<VersionName>,
 }
 
-/// What an upstream does.
+/// Kind of work that an upstream does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum UpstreamKind {
@@ -165,19 +166,19 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct UpstreamSpec {
-    /// What it does.
+    /// Kind of work it does.
     pub kind: UpstreamKind,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Data centre in which it runs.
     pub data_centre: DataCentre,
-    /// Whether it refuses an order that carries an old fencing number.
+    /// Whether it refuses an order that carries a superseded fencing token.
     pub checks_fencing: bool,
-    /// Whether an operator drains it: no new work.
+    /// Whether an operator drains it, so that it gets no new work.
     pub draining: bool,
     /// The service it belongs to, for a service instance.
     pub service: Option<ServiceName>,
-    /// The model it is meant for, for an engine.
+    /// The model it serves, for an engine.
     pub model: Option<ModelName>,
     /// Prefill throughput of an engine.
     pub prefill: TokenRate,
@@ -187,7 +188,7 @@
     pub slots: u32,
 }
 
-/// Weights of the three measures, as whole numbers relative to each other.
+/// Weights of the three cost measures, as whole numbers relative to each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WeightProfile {
@@ -195,7 +196,7 @@
     pub first_token: u32,
     /// Weight of a recomputed token.
     pub recompute: u32,
-    /// Weight of a kilobyte over a link.
+    /// Weight of a kilobyte sent over a link.
     pub link: u32,
 }
 
@@ -205,7 +206,7 @@
     }
 }
 
-/// What operators say of a data centre.
+/// A data centre's setting by operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DataCentreSpec {
@@ -225,51 +226,61 @@
     Model(ModelSpec),
     /// An upstream.
     Upstream(UpstreamSpec),
-    /// The weights of the measures.
+    /// The weights of the three cost measures.
     Profile(WeightProfile),
     /// A data centre.
     #[serde(rename = "data-centre")]
     DataCentre(DataCentreSpec),
 }
 
-fn bad(field: &'static str, expected: &'static str, found: impl Into<Box<str>>) -> ObjectError {
-    ObjectError::BadField { field, expected, found: found.into() }
+fn invalid_field(
+    field: &'static str,
+    expected: &'static str,
+    found: impl Into<Box<str>>,
+) -> ObjectError {
+    ObjectError::InvalidField { field, expected, found: found.into() }
 }
 
 fn check_customer(spec: &CustomerSpec) -> Result<(), ObjectError> {
-    if spec.key_hashes.len() > MAX_LIST {
-        return Err(bad("key_hashes", "at most 64", spec.key_hashes.len().to_string()));
+    if spec.key_hashes.len() > MAX_LIST_ENTRIES {
+        return Err(invalid_field("key_hashes", "at most 64", spec.key_hashes.len().to_string()));
     }
     let is_hash = |hash: &str| hash.len() == 64 && hash.bytes().all(|b| b.is_ascii_hexdigit());
     if let Some(hash) = spec.key_hashes.iter().find(|hash| !is_hash(hash)) {
-        return Err(bad("key_hashes", "64 hexadecimal digits", format!("{} bytes", hash.len())));
+        return Err(invalid_field(
+            "key_hashes",
+            "64 hexadecimal digits",
+            format!("{} bytes", hash.len()),
+        ));
     }
     if spec.rate.0 == 0 {
-        return Err(bad("rate", "at least 1 requests/s", "0"));
+        return Err(invalid_field("rate", "at least 1 requests/s", "0"));
     }
     if spec.concurrency == 0 {
-        return Err(bad("concurrency", "at least 1", "0"));
+        return Err(invalid_field("concurrency", "at least 1", "0"));
     }
     Ok(())
 }
 
 fn check_service(spec: &ServiceSpec) -> Result<(), ObjectError> {
-    if spec.rules.len() > MAX_LIST {
-        return Err(bad("rules", "at most 64", spec.rules.len().to_string()));
+    if spec.rules.len() > MAX_LIST_ENTRIES {
+        return Err(invalid_field("rules", "at most 64", spec.rules.len().to_string()));
     }
-    let bad_path = spec.rules.iter().find(|rule| !rule.path.starts_with('/'));
-    match bad_path {
-        Some(rule) => Err(bad("rules.path", "a path beginning with /", rule.path.clone())),
+    let unmatchable_rule = spec.rules.iter().find(|rule| !rule.path.starts_with('/'));
+    match unmatchable_rule {
+        Some(rule) => {
+            Err(invalid_field("rules.path", "a path beginning with /", rule.path.clone()))
+        }
         None => Ok(()),
     }
 }
 
 fn check_model(spec: &ModelSpec) -> Result<(), ObjectError> {
-    if spec.versions.len() > MAX_LIST {
-        return Err(bad("versions", "at most 64", spec.versions.len().to_string()));
+    if spec.versions.len() > MAX_LIST_ENTRIES {
+        return Err(invalid_field("versions", "at most 64", spec.versions.len().to_string()));
     }
     if !spec.versions.contains(&spec.current) {
-        return Err(bad("current", "a published version", spec.current.as_str()));
+        return Err(invalid_field("current", "a published version", spec.current.as_str()));
     }
     Ok(())
 }
@@ -277,22 +288,24 @@
 fn check_upstream(spec: &UpstreamSpec) -> Result<(), ObjectError> {
     match spec.kind {
         UpstreamKind::Engine if spec.model.is_none() => {
-            Err(bad("model", "the engine's model", "nothing"))
+            Err(invalid_field("model", "the engine's model", "nothing"))
         }
         UpstreamKind::Engine if spec.prefill.0 == 0 => {
-            Err(bad("prefill", "at least 1 tokens/s", "0"))
+            Err(invalid_field("prefill", "at least 1 tokens/s", "0"))
         }
-        UpstreamKind::Engine if spec.slots == 0 => Err(bad("slots", "at least 1", "0")),
+        UpstreamKind::Engine if spec.slots == 0 => Err(invalid_field("slots", "at least 1", "0")),
         UpstreamKind::Service if spec.service.is_none() => {
-            Err(bad("service", "the instance's service", "nothing"))
+            Err(invalid_field("service", "the instance's service", "nothing"))
+        }
+        UpstreamKind::Store if spec.link.0 == 0 => {
+            Err(invalid_field("link", "at least 1 B/s", "0"))
         }
-        UpstreamKind::Store if spec.link.0 == 0 => Err(bad("link", "at least 1 B/s", "0")),
         _ => Ok(()),
     }
 }
 
 impl ConfigObject {
-    /// Its kind.
+    /// Kind that the object's key must have.
     pub fn kind(&self) -> ObjectKind {
         match self {
             Self::Customer(_) => ObjectKind::Customer,
@@ -304,7 +317,7 @@
         }
     }
 
-    /// Refuses values out of bounds, naming the field.
+    /// Fails for a value that is not allowed or missing, with the first such field in the error.
     pub fn check(&self) -> Result<(), ObjectError> {
         match self {
             Self::Customer(spec) => check_customer(spec),
@@ -316,12 +329,12 @@
     }
 }
 
-/// An object with the offset of the change that made it; a deletion keeps its revision.
+/// An object with the revision of its last change; a deleted object keeps its revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredObject {
-    /// Offset of the last accepted change, plus one; zero means never set.
+    /// Offset of the last accepted change, plus one; zero if the object was never set.
     pub revision: guava_types::Offset,
-    /// The object, or nothing after its deletion.
+    /// The object, or `None` after its deletion.
     pub object: Option<ConfigObject>,
 }
 
--- a/crates/guava-state/tests/freshness.rs
+++ b/crates/guava-state/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! The freshness rule, case by case.
+//! The freshness rule: which observations of the log and of peers make a daemon fresh.
 
 use guava_state::{
     FRESHNESS_LIMIT_MS, FreshnessInput, FreshnessVerdict, LogObservation, PeerObservation,
@@ -33,11 +33,11 @@
 }
 
 #[test]
-fn new_record_does_not_make_a_follower_stale_at_once() {
-    // Symptom: a daemon that follows through its peers refuses work now and then.
-    // Sequence: it had applied all there was; a record is written; the peer's next sight tells of
-    // it before this daemon has fetched it.
-    // Cause: the newer sight replaces the older one, which still held.
+fn new_record_does_not_make_a_following_daemon_stale_at_once() {
+    // Guards against a daemon that follows the log through its peers and sporadically refuses work.
+    // It had applied all records; a new one is written, and the peer's next observation includes it
+    // before this daemon has fetched it. That observation replaces the older one, which was still
+    // recent.
     let peers = [peer(2, 100, Some((11, 100)))];
     let roster = [Incarnation(1), Incarnation(2)];
     let input = |confirmed_age_ms: u64| FreshnessInput {
@@ -58,14 +58,14 @@
 
 #[parameterized(
     reads_the_log = { Some((10, 100)), vec![], 5, FreshnessVerdict::LogSeen },
-    read_it_long_ago = { Some((10, FRESHNESS_LIMIT_MS + 1)), vec![], 5, FreshnessVerdict::Stale },
+    own_read_is_old = { Some((10, FRESHNESS_LIMIT_MS + 1)), vec![], 5, FreshnessVerdict::Stale },
     peer_reads_it = { None, vec![peer(2, 100, Some((10, 200)))], 5, FreshnessVerdict::LogSeen },
     peer_is_ahead = { None, vec![peer(2, 100, Some((11, 200)))], 5, FreshnessVerdict::Stale },
-    majority_in_outage = {
+    majority_without_log = {
         Some((10, 60_000)), vec![peer(2, 100, None), peer(3, 100, None)], 5,
         FreshnessVerdict::MajorityReachable
     },
-    majority_that_knows_more = {
+    majority_that_knows_a_newer_record = {
         None, vec![peer(2, 100, Some((12, 60_000))), peer(3, 100, None)], 5,
         FreshnessVerdict::Stale
     },
@@ -73,12 +73,12 @@
     silent_peers_do_not_count = {
         None, vec![peer(2, 9_000, None), peer(3, 9_000, None)], 5, FreshnessVerdict::Stale
     },
-    strangers_do_not_count = {
+    peers_off_the_roster_do_not_count = {
         None, vec![peer(8, 100, None), peer(9, 100, None)], 5, FreshnessVerdict::Stale
     },
-    nobody_known = { None, vec![], 0, FreshnessVerdict::Stale },
+    empty_roster = { None, vec![], 0, FreshnessVerdict::Stale },
 )]
-fn verdict(
+fn freshness_verdict(
     own: Option<(u64, u64)>,
     peers: Vec<PeerObservation>,
     members: u128,
--- a/crates/guava-state/tests/lease.rs
+++ b/crates/guava-state/tests/lease.rs
@@ -1,4 +1,4 @@
-//! The lease rule: two holders never both act, whatever is late, lost or paused.
+//! The lease rule: at most one daemon holds a lease at a time, whatever is late, lost or paused.
 
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
@@ -13,13 +13,13 @@
 const TERM_MS: u64 = 10_000;
 const HOLDERS: usize = 3;
 
-/// What one daemon does in one step.
+/// One step of a run: time passes or one daemon acts.
 #[derive(Clone, Copy, Debug)]
 enum LeaseStep {
     /// Time passes, in milliseconds.
     Wait(u64),
-    /// Asks for the lease if it may; the append takes effect after so many further steps.
-    Ask { who: usize, lands_after: usize },
+    /// Requests the lease if it may; the append takes effect after `lands_after` further steps.
+    Request { who: usize, lands_after: usize },
     /// Reads the log up to its end.
     Read { who: usize },
 }
@@ -27,7 +27,8 @@
 fn any_step() -> impl Strategy<Value = LeaseStep> {
     prop_oneof![
         (0..6_000_u64).prop_map(LeaseStep::Wait),
-        (0..HOLDERS, 0..8_usize).prop_map(|(who, lands_after)| LeaseStep::Ask { who, lands_after }),
+        (0..HOLDERS, 0..8_usize)
+            .prop_map(|(who, lands_after)| LeaseStep::Request { who, lands_after }),
         (0..HOLDERS).prop_map(|who| LeaseStep::Read { who }),
     ]
 }
@@ -46,10 +47,10 @@
 }
 
 #[test]
-fn at_most_one_holder_believes_in_its_lease() {
-    // Symptom: two daemons give orders at one time.
-    // Sequence: appends that land late, in any order; readers that lag or are paused.
-    // Cause: a holder counts its term from when it read, or a newcomer from when it was written.
+fn at_most_one_daemon_holds_a_lease() {
+    // Guards against two daemons that give orders at the same time. Appends take effect late and in
+    // any order, and readers lag or are paused. It would happen if a holder counted its term from
+    // when it read the record, or another daemon counted from when the record was written.
     let config = Config { cases: 512, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &SEED);
     let steps = proptest::collection::vec(any_step(), 1..80);
@@ -58,19 +59,19 @@
         .run(&steps, |steps| {
             let mut now = Moment(1_000);
             let mut log: Vec<LogRecord> = Vec::new();
-            let mut under_way: Vec<(usize, LogRecord)> = Vec::new();
+            let mut pending_appends: Vec<(usize, LogRecord)> = Vec::new();
             let mut watches = vec![LeaseWatch::default(); HOLDERS];
             let mut states = vec![FleetState::default(); HOLDERS];
             for step in steps {
-                under_way.iter_mut().for_each(|entry| entry.0 = entry.0.saturating_sub(1));
-                let landed = under_way.extract_if(.., |entry| entry.0 == 0);
+                pending_appends.iter_mut().for_each(|entry| entry.0 = entry.0.saturating_sub(1));
+                let landed = pending_appends.extract_if(.., |entry| entry.0 == 0);
                 log.extend(landed.map(|(_, record)| record));
                 match step {
                     LeaseStep::Wait(millis) => now = Moment(now.0 + millis),
-                    LeaseStep::Ask { who, lands_after } => {
+                    LeaseStep::Request { who, lands_after } => {
                         if let Some(against) = watches[who].may_request(incarnation(who), now) {
                             watches[who].request_sent(now, TERM_MS);
-                            under_way.push((lands_after, lease_record(who, against)));
+                            pending_appends.push((lands_after, lease_record(who, against)));
                         }
                     }
                     LeaseStep::Read { who } => {
@@ -90,7 +91,7 @@
 }
 
 #[test]
-fn paused_holder_has_lost_its_lease_when_it_wakes() {
+fn lease_expires_while_its_holder_is_paused() {
     let mut state = FleetState::default();
     state.fold(Offset(0), &lease_record(0, Offset(0)).encode().unwrap());
     let mut holder = LeaseWatch::default();
@@ -100,19 +101,22 @@
     other.observe(state.lease("x"), incarnation(1), Moment(1_500));
     assert!(holder.token(Moment(1_600)).is_some());
 
-    let woken = Moment(1_000 + TERM_MS);
+    let resumed_at = Moment(1_000 + TERM_MS);
 
-    assert!(holder.token(woken).is_none());
-    assert!(other.may_request(incarnation(1), woken).is_none(), "the margin is not over yet");
-    let free = Moment(1_500 + TERM_MS + clock_margin_ms(TERM_MS));
-    assert!(other.may_request(incarnation(1), free).is_some());
+    assert!(holder.token(resumed_at).is_none());
+    assert!(
+        other.may_request(incarnation(1), resumed_at).is_none(),
+        "the margin has not passed yet"
+    );
+    let requestable_at = Moment(1_500 + TERM_MS + clock_margin_ms(TERM_MS));
+    assert!(other.may_request(incarnation(1), requestable_at).is_some());
 }
 
 #[test]
-fn holder_that_starts_anew_need_not_wait_for_itself() {
-    // Symptom: after all daemons were killed nobody orders engines for a whole term.
-    // Sequence: the holder ends and starts again; the log has its own lease, not yet over.
-    // Cause: each start was another holder.
+fn restarted_holder_may_renew_its_lease_at_once() {
+    // Guards against a complete term without orders to engines after all daemons were killed. The
+    // holder restarts and finds its own unexpired lease in the log; it would have to wait for its
+    // expiry if each start counted as another holder.
     let entry = LeaseEntry {
         holder: incarnation(0),
         token: Offset(5),
