--- a/crates/guava-outside/src/engine.rs
+++ b/crates/guava-outside/src/engine.rs
@@ -15,10 +15,10 @@
 
 /// Longest line of an event stream, in bytes.
 const MAX_LINE_BYTES: usize = 1 << 20;
-/// Header in which an engine tells a run's id.
+/// Header in which an engine returns a run's id.
 pub const RUN_HEADER: &str = "x-run-id";
-/// How long a connection to an engine may take, in milliseconds.
-const CONNECT_MS: u64 = 1_000;
+/// Longest wait for a connection to an engine, in milliseconds.
+const CONNECT_TIMEOUT_MS: u64 = 1_000;
 
 /// A block to import before the prefill.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -27,14 +27,14 @@
     pub store: SocketAddr,
     /// The block's key.
     pub key: Box<str>,
-    /// Its length in bytes; anything else is a miss.
+    /// Expected length in bytes; any other length is a miss.
     pub length: u64,
-    /// Its digest; anything else is a miss.
+    /// Expected digest; any other digest is a miss.
     pub digest: Box<str>,
     /// Tokens that it covers.
     pub tokens: TokenCount,
-    /// How long the import may take, in milliseconds: no longer than the grant holds, and than
-    /// recomputing would take. Later is a miss.
+    /// Timeout of the import, in milliseconds: at most the grant's remaining time and the time
+    /// that recomputing would take. An import that takes longer is a miss.
     pub grant_left_ms: u64,
 }
 
@@ -49,15 +49,15 @@
     pub version: VersionName,
     /// The prompt.
     pub prompt: Box<str>,
-    /// Tokens to generate at most.
+    /// Largest number of tokens to generate.
     pub max_tokens: u32,
-    /// Smaller runs first.
+    /// Requests with smaller values run first.
     pub priority: u32,
     /// Root of the engine's cache keys for this customer, model and version.
     pub cache_salt: Box<str>,
     /// A block to import first, if the engine does not hold as much itself.
     pub import: Option<ImportOrder>,
-    /// The caller's other parameters, passed on as they came.
+    /// The caller's other parameters, forwarded unchanged.
     #[serde(flatten)]
     pub parameters: serde_json::Map<String, serde_json::Value>,
 }
@@ -71,7 +71,7 @@
     pub cached_tokens: u64,
     /// Of those, tokens imported.
     pub imported_tokens: u64,
-    /// Time that the import took or was tried, in milliseconds; zero without one.
+    /// Time spent on the import, successful or not, in milliseconds; zero without one.
     #[serde(default)]
     pub import_ms: u64,
     /// Tokens generated.
@@ -81,15 +81,15 @@
 /// One event of a run's stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineEvent {
-    /// The request's id, as ordered.
+    /// The request's id, as in the order.
     pub request: Box<str>,
     /// The run's id at the engine.
     pub run: Box<str>,
     /// The version that runs it.
     pub version: VersionName,
-    /// Place of the chunk, or for the end marker the number of chunks.
+    /// Position of the chunk; in the end marker, the number of chunks.
     pub position: u64,
-    /// The chunk's text; nothing in the end marker.
+    /// The chunk's text; `None` in the end marker.
     pub text: Option<Box<str>>,
     /// Token counts, in the end marker.
     pub usage: Option<Usage>,
@@ -98,9 +98,9 @@
 /// A run's stream.
 #[derive(Debug)]
 pub struct EngineStream {
-    /// The run's id, told before the first chunk.
+    /// The run's id, from the answer's headers.
     pub run: Option<Box<str>>,
-    /// What the engine says of itself.
+    /// Upstream announcements in the answer's headers.
     pub announcements: UpstreamAnnouncements,
     body: Incoming,
     buffer: BytesMut,
@@ -112,7 +112,7 @@
         Some(self.buffer.split_to(end + 1))
     }
 
-    /// The next event; nothing when the transport ends, which is not yet the end of the answer.
+    /// The next event; `None` when the body ends, which does not mean that the answer is complete.
     pub async fn next(&mut self, deadline: Deadline) -> Result<Option<EngineEvent>, HttpError> {
         loop {
             while let Some(line) = self.take_line() {
@@ -140,7 +140,7 @@
 /// An upstream's report; services fill in the first two fields only.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineReport {
-    /// The upstream's own incarnation.
+    /// Incarnation of the upstream's process.
     pub instance: Box<str>,
     /// Whether it is leaving.
     pub leaving: bool,
@@ -176,40 +176,40 @@
     pub store: SocketAddr,
 }
 
-/// What the engine wrote, by its own account.
+/// What the engine reports to have written.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExportReceipt {
-    /// Bytes.
+    /// Length in bytes.
     pub length: u64,
     /// BLAKE3 digest, in hexadecimal.
     pub digest: Box<str>,
 }
 
-/// An order to load a version. Absolute, so that a repeat is harmless.
+/// An order to load a version. It names the target state, so repeating it is harmless.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LoadOrder {
-    /// Fencing token of the lease under which it is given.
+    /// Fencing token of the lease under which the order is sent.
     pub token: Offset,
     /// The model.
     pub model: ModelName,
-    /// The version to be at.
+    /// The version to load.
     pub version: VersionName,
 }
 
 /// An engine's answer to an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderAnswer {
-    /// Whether it will carry it out.
+    /// Whether the engine will carry out the order.
     pub accepted: bool,
-    /// Why not.
+    /// Why the order was refused; empty if accepted.
     #[serde(default)]
     pub reason: Box<str>,
 }
 
-/// A cache event: a hint only, late and perhaps with gaps.
+/// A cache eviction. A hint only: events may arrive late or be lost.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Counts up by one; a gap means that events were lost.
+    /// Increases by one per event; a gap means that events were lost.
     pub sequence: u64,
     /// Root of the evicted prefix.
     pub salt: Box<str>,
@@ -217,12 +217,12 @@
     pub first_hash: Box<str>,
 }
 
-/// Some cache events.
+/// Cache events from a sequence number on.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct CacheEvents {
-    /// The engine's own incarnation; another one starts with an empty cache.
+    /// Incarnation of the engine's process; a new one starts with an empty cache.
     pub instance: Box<str>,
-    /// The sequence number to ask from next.
+    /// The sequence number from which to read next.
     pub next: u64,
     /// Evictions.
     pub events: Vec<CacheEvent>,
@@ -247,7 +247,7 @@
     ) -> Result<EngineStream, HttpError> {
         let request =
             http_link::request(self.address, method, path, "application/json", body.into())?;
-        let connecting = http_link::earlier_of(deadline, CONNECT_MS);
+        let connecting = http_link::earlier_of(deadline, CONNECT_TIMEOUT_MS);
         let sender = http_link::connect(self.address, connecting).await?;
         let response = http_link::send(sender, request, deadline).await?;
         if !response.status().is_success() {
@@ -269,7 +269,7 @@
         self.stream(Method::POST, "/v1/completions", body, deadline).await
     }
 
-    /// Reads a run on from a position, over a new connection.
+    /// Continues reading a run from a position, over a new connection.
     pub async fn resume(
         &self,
         run: &str,
@@ -304,7 +304,7 @@
         http_link::post_json(self.address, "/orders", order, deadline).await
     }
 
-    /// Orders an export; answers when the store has sealed the block.
+    /// Orders an export; returns when the store has sealed the block.
     pub async fn export(
         &self,
         order: &ExportOrder,
--- a/crates/guava-outside/src/http_link.rs
+++ b/crates/guava-outside/src/http_link.rs
@@ -1,8 +1,8 @@
-//! One HTTP/1.1 exchange over a connection of its own, with a deadline on every wait.
+//! HTTP/1.1 exchanges, each over its own connection and with a deadline on every wait.
 //!
-//! The errors keep apart what matters to callers: whether the request may have reached the other
-//! side. Pools and clients that retry by themselves are left out on purpose, since a hidden second
-//! send would double a call that may run only once.
+//! The errors distinguish whether the request may have reached the server. Connection pools and
+//! clients that retry automatically are deliberately not used: a hidden second send would duplicate
+//! a call that may run only once.
 
 use bytes::{Bytes, BytesMut};
 use guava_policy::UpstreamAnnouncements;
@@ -23,73 +23,73 @@
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::time::timeout;
 
-/// Header in which an engine that refuses a version tells which one it has loaded.
+/// Header in which an engine that refuses a version names the version that it has loaded.
 pub const LOADED_HEADER: &str = "x-loaded-version";
-/// Header in which an upstream names the requests a second that it takes from all daemons together.
+/// Header that announces an upstream's rate limit: requests per second from all daemons together.
 const UPSTREAM_LIMIT: HeaderName = HeaderName::from_static("upstream-limit");
-/// Header in which an upstream says that it leaves.
+/// Header in which an upstream announces that it is leaving.
 const UPSTREAM_LEAVING: HeaderName = HeaderName::from_static("upstream-leaving");
-/// Largest JSON answer of an outside interface, in bytes.
+/// Largest JSON answer accepted from an external service, in bytes.
 const MAX_JSON_BYTES: usize = 64 << 20;
 
 /// Why an exchange failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum HttpError {
-    /// No connection: nothing was sent.
+    /// No connection was established; nothing was sent.
     #[snafu(display("cannot connect to {address}: {reason}"))]
     Connect {
-        /// The other side.
+        /// Address of the server.
         address: SocketAddr,
-        /// Why.
+        /// Error of the socket or the handshake, or that the deadline passed.
         reason: Box<str>,
     },
-    /// The deadline passed; the request may have reached the other side.
+    /// The deadline passed; the request may have reached the server.
     #[snafu(display("no answer in time while {waiting_for}"))]
     TimedOut {
-        /// What was being waited for.
+        /// The step that did not complete in time.
         waiting_for: &'static str,
     },
-    /// The connection broke; the request may have reached the other side.
+    /// The connection broke; the request may have reached the server.
     #[snafu(display("connection broke: {source}"))]
     Broken {
-        /// What the library says.
+        /// Error of the HTTP library.
         source: hyper::Error,
     },
-    /// The request could not be built: nothing was sent.
+    /// The request could not be built; nothing was sent.
     #[snafu(display("request is malformed: {source}"))]
     Malformed {
-        /// What the library says.
+        /// Error of the request builder.
         source: http::Error,
     },
-    /// More bytes than allowed.
+    /// The answer's body exceeds the limit.
     #[snafu(display("answer is over {limit} bytes"))]
     TooLarge {
-        /// The bound.
+        /// Largest accepted size, in bytes.
         limit: usize,
     },
-    /// The other side refused.
+    /// The server answered with a status other than success.
     #[snafu(display("answered {status}: {text}"))]
     Refused {
-        /// Its status.
+        /// HTTP status of the answer.
         status: StatusCode,
-        /// The beginning of its answer.
+        /// Beginning of the answer's body.
         text: Box<str>,
-        /// What it says of itself.
+        /// Upstream announcements in the answer's headers.
         announcements: UpstreamAnnouncements,
-        /// Of an engine that refused a version, the one that it has loaded.
+        /// Version that the engine has loaded, if it refused another one.
         loaded: Option<VersionName>,
     },
-    /// The answer is not what the interface promises.
+    /// JSON could not be parsed or written.
     #[snafu(display("answer does not parse: {source}"))]
     Syntax {
-        /// What the parser says.
+        /// Error of the JSON library.
         source: serde_json::Error,
     },
 }
 
 impl HttpError {
-    /// Whether the request may have reached the other side and taken effect there.
+    /// Whether the request may have reached the server and taken effect there.
     pub fn may_have_run(&self) -> bool {
         !matches!(self, Self::Connect { .. } | Self::Malformed { .. })
     }
@@ -97,9 +97,9 @@
 
 static SOURCE: OnceLock<IpAddr> = OnceLock::new();
 
-/// Sets the address that this process connects from; the first call of a process decides.
+/// Sets the source address of this process's connections; later calls have no effect.
 ///
-/// A VM may have several addresses, and the networks between data centres filter by them.
+/// A VM may have several addresses, and the networks between data centres filter by source address.
 pub fn set_source(address: IpAddr) {
     SOURCE.get_or_init(|| address);
 }
@@ -114,7 +114,7 @@
     Ok(stream)
 }
 
-/// Whether somebody listens at an address; nothing if that can't be told.
+/// Whether a process listens at an address; `None` if neither a connection nor a refusal is seen.
 pub async fn is_listening(address: SocketAddr, deadline: Deadline) -> Option<bool> {
     match timeout(deadline.time_left(), open(address)).await {
         Ok(Ok(_)) => Some(true),
@@ -123,7 +123,7 @@
     }
 }
 
-/// Opens a connection; the request sent on it is the only one.
+/// Opens a connection for a single request.
 pub async fn connect(
     address: SocketAddr,
     deadline: Deadline,
@@ -136,7 +136,7 @@
     let opened = timeout(deadline.time_left(), opening).await;
     let (sender, connection) = opened.map_err(|_| refused("timed out".into()))?.map_err(refused)?;
     tokio::spawn(async move {
-        // Its end is seen by whoever holds the sender or the body.
+        // The holder of the sender or the body receives the connection's errors.
         drop(connection.await);
     });
     Ok(sender)
@@ -163,7 +163,7 @@
     send(sender, request, deadline).await
 }
 
-/// Reads a whole body.
+/// Reads a complete body; fails if it exceeds `limit` bytes.
 pub async fn collect_body(
     mut body: Incoming,
     limit: usize,
@@ -199,7 +199,7 @@
         .context(MalformedSnafu)
 }
 
-/// What the head of an answer says of the upstream that gives it.
+/// Reads the upstream announcements from the head of an answer.
 pub(crate) fn upstream_announcements(response: &Response<Incoming>) -> UpstreamAnnouncements {
     let headers = response.headers();
     let values = |name: &HeaderName| headers.get_all(name).iter().map(HeaderValue::as_bytes);
@@ -217,14 +217,14 @@
 }
 
 pub(crate) async fn refusal(response: Response<Incoming>, deadline: Deadline) -> HttpError {
-    const SHOWN_BYTES: usize = 200;
+    const MAX_SHOWN_BYTES: usize = 200;
     let status = response.status();
     let announcements = upstream_announcements(&response);
     let loaded = response.headers().get(LOADED_HEADER).and_then(|value| value.to_str().ok());
     let loaded = loaded.and_then(|text| text.parse().ok());
     let body = collect_body(response.into_body(), MAX_JSON_BYTES, deadline).await;
     let text = body.unwrap_or_default();
-    let shown = text.get(..SHOWN_BYTES.min(text.len())).unwrap_or_default();
+    let shown = text.get(..MAX_SHOWN_BYTES.min(text.len())).unwrap_or_default();
     HttpError::Refused {
         status,
         text: String::from_utf8_lossy(shown).into(),
@@ -233,7 +233,7 @@
     }
 }
 
-/// Exchanges bytes and reads JSON from a successful answer.
+/// Sends a request and parses the JSON of a successful answer.
 pub(crate) async fn exchange_json<T: DeserializeOwned>(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
@@ -247,7 +247,7 @@
     serde_json::from_slice(&bytes).context(SyntaxSnafu)
 }
 
-/// GETs a path and reads JSON.
+/// GETs a path and parses the JSON answer.
 pub async fn get_json<T: DeserializeOwned>(
     address: SocketAddr,
     path: &str,
@@ -257,7 +257,7 @@
     exchange_json(address, request, deadline).await
 }
 
-/// POSTs JSON to a path and reads JSON.
+/// POSTs JSON to a path and parses the JSON answer.
 pub async fn post_json<S: Serialize + Sync, T: DeserializeOwned>(
     address: SocketAddr,
     path: &str,
@@ -269,7 +269,7 @@
     exchange_json(address, request, deadline).await
 }
 
-/// The deadline of a short question to an outside interface.
+/// The earlier of a deadline and the moment `millis` milliseconds from now.
 pub(crate) fn earlier_of(deadline: Deadline, millis: u64) -> Deadline {
     deadline.earlier(Deadline::after(Moment::now(), millis))
 }
--- a/crates/guava-outside/src/kv_store.rs
+++ b/crates/guava-outside/src/kv_store.rs
@@ -1,4 +1,4 @@
-//! Store VMs that keep KV blocks behind limited links.
+//! Client of the store VMs, which hold KV blocks behind links of limited bandwidth.
 
 use crate::http_link::{self, HttpError};
 use bytes::Bytes;
@@ -7,10 +7,10 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A block as the store has it.
+/// State of a block in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BlockState {
-    /// Whether the write was finished and closed.
+    /// Whether the block is completely written and closed.
     pub sealed: bool,
     /// Bytes held.
     pub length: u64,
@@ -23,9 +23,9 @@
 pub struct StoreReport {
     /// Bytes held.
     pub used: ByteCount,
-    /// Bytes that fit.
+    /// Most bytes that the store can hold.
     pub capacity: ByteCount,
-    /// Bytes waiting for its link.
+    /// Bytes queued for the store's link.
     pub link_queued: ByteCount,
 }
 
@@ -37,7 +37,7 @@
 }
 
 impl StoreClient {
-    /// What the store says of a block; a refusal if it has none of that key.
+    /// State of a block; `HttpError::Refused` if the store has no block of that key.
     pub async fn block(&self, key: &str, deadline: Deadline) -> Result<BlockState, HttpError> {
         http_link::get_json(self.address, &format!("/blocks/{key}/state"), deadline).await
     }
@@ -50,7 +50,7 @@
         http_link::exchange_json(self.address, request, deadline).await
     }
 
-    /// Frees all blocks whose key begins with a text.
+    /// Frees all blocks whose key begins with `prefix`.
     pub async fn free_all(&self, prefix: &str, deadline: Deadline) -> Result<(), HttpError> {
         let path = format!("/blocks?prefix={prefix}");
         let request =
--- a/crates/guava-outside/src/lib.rs
+++ b/crates/guava-outside/src/lib.rs
@@ -1,9 +1,9 @@
-//! Adapters to everything outside: log service, VM list, weight store, store VMs, engines, plain
+//! Clients of the external services: log service, VM list, weight store, store VMs, engines, plain
 //! services.
 //!
-//! One module an interface; a wire format can be swapped in its module without touching a
-//! decision. All speak HTTP/1.1 over a connection of their own for each request: the brief says
-//! that open connections go silent for good while new ones work, and a fresh one can't have.
+//! Each interface has its own module, so that a wire format can be replaced without changing the
+//! code that makes decisions. All clients use HTTP/1.1 with a new connection for each request: by
+//! the requirements, open connections can go silent permanently while new ones work.
 
 mod engine;
 mod http_link;
--- a/crates/guava-outside/src/log_service.rs
+++ b/crates/guava-outside/src/log_service.rs
@@ -1,4 +1,4 @@
-//! The platform's append-only log.
+//! Client of the platform's append-only log.
 
 use crate::http_link::{self, HttpError};
 use bytes::Bytes;
@@ -7,14 +7,14 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Some records of the log.
+/// Consecutive records of the log.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LogPage {
-    /// The first offset that the log still keeps.
+    /// The first offset that the log still retains.
     pub first: Offset,
     /// The first offset not written yet.
     pub end: Offset,
-    /// Records from the offset asked for on, without holes; may stop before `end`.
+    /// Records from the requested offset on, without gaps; may stop before `end`.
     pub records: Vec<PageRecord>,
 }
 
@@ -23,7 +23,7 @@
 pub struct PageRecord {
     /// Its offset.
     pub offset: Offset,
-    /// Its bytes; the service keeps text.
+    /// The record's content; the service stores text.
     pub body: Box<str>,
 }
 
@@ -40,7 +40,7 @@
 }
 
 impl LogClient {
-    /// Appends a record. An error does not say that it was not appended.
+    /// Appends a record. After an error, the record may have been appended nevertheless.
     pub async fn append(&self, bytes: Bytes, deadline: Deadline) -> Result<Offset, HttpError> {
         let request =
             http_link::request(self.address, Method::POST, "/append", "application/json", bytes)?;
--- a/crates/guava-outside/src/plain_service.rs
+++ b/crates/guava-outside/src/plain_service.rs
@@ -1,4 +1,4 @@
-//! Plain services beside the engines.
+//! Client of plain services: upstreams that are not engines.
 
 use crate::http_link::{self, HttpError};
 use bytes::Bytes;
@@ -8,7 +8,7 @@
 use http::{Method, StatusCode};
 use std::net::SocketAddr;
 
-/// Largest answer that is passed on, in bytes.
+/// Largest answer that is forwarded, in bytes.
 const MAX_ANSWER_BYTES: usize = 4 << 20;
 
 /// A call of a plain service.
@@ -24,7 +24,7 @@
     pub body: Bytes,
     /// The customer that calls, as authenticated.
     pub customer: Box<str>,
-    /// The key, passed on for the service's own records; empty for none.
+    /// Idempotency key, forwarded for the service's own records; empty for none.
     pub key: Box<str>,
 }
 
@@ -35,9 +35,9 @@
     pub status: StatusCode,
     /// Type of the body.
     pub content_type: Box<str>,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
-    /// What the instance says of itself.
+    /// Upstream announcements in the answer's headers.
     pub announcements: UpstreamAnnouncements,
 }
 
@@ -49,13 +49,13 @@
 }
 
 impl ServiceClient {
-    /// Makes one call, sent at most once; the error tells whether it may have run.
+    /// Makes one call, sent at most once; `HttpError::may_have_run` tells whether it may have run after an error.
     pub async fn call(
         &self,
         call: &ServiceCall,
         deadline: Deadline,
     ) -> Result<ServiceAnswer, HttpError> {
-        const CONNECT_MS: u64 = 1_000;
+        const CONNECT_TIMEOUT_MS: u64 = 1_000;
         let mut request = http_link::request(
             self.address,
             call.method.clone(),
@@ -71,7 +71,7 @@
                 headers.insert(name, value);
             }
         }
-        let connecting = http_link::earlier_of(deadline, CONNECT_MS);
+        let connecting = http_link::earlier_of(deadline, CONNECT_TIMEOUT_MS);
         let sender = http_link::connect(self.address, connecting).await?;
         let response = http_link::send(sender, request, deadline).await?;
         let status = response.status();
--- a/crates/guava-outside/src/vm_list.rs
+++ b/crates/guava-outside/src/vm_list.rs
@@ -1,4 +1,4 @@
-//! The platform's lagging list of live and leaving VMs.
+//! Client of the platform's list of live and leaving VMs, which lags behind the actual state.
 
 use crate::http_link::{self, HttpError};
 use guava_types::Deadline;
@@ -10,7 +10,7 @@
 pub struct ListedVm {
     /// Where it listens.
     pub address: SocketAddr,
-    /// Whether the platform is taking it away.
+    /// Whether the platform is removing the VM.
     pub leaving: bool,
 }
 
@@ -22,7 +22,7 @@
 }
 
 impl VmListClient {
-    /// The whole list.
+    /// The complete list.
     pub async fn fetch(&self, deadline: Deadline) -> Result<Vec<ListedVm>, HttpError> {
         http_link::get_json(self.address, "/vms", deadline).await
     }
--- a/crates/guava-outside/src/weight_store.rs
+++ b/crates/guava-outside/src/weight_store.rs
@@ -1,4 +1,4 @@
-//! The platform's weight store, asked only whether a version is there.
+//! Client of the platform's weight store, used only to check whether a version is present.
 
 use crate::http_link::{self, HttpError};
 use guava_types::{Deadline, ModelName, VersionName};
