--- a/crates/guava-outside/src/engine.rs
+++ b/crates/guava-outside/src/engine.rs
@@ -247,8 +247,8 @@
     ) -> Result<EngineStream, HttpError> {
         let request =
             http_link::request(self.address, method, path, "application/json", body.into())?;
-        let connecting = http_link::earlier_of(deadline, CONNECT_TIMEOUT_MS);
-        let sender = http_link::connect(self.address, connecting).await?;
+        let connect_deadline = http_link::capped_deadline(deadline, CONNECT_TIMEOUT_MS);
+        let sender = http_link::connect(self.address, connect_deadline).await?;
         let response = http_link::send(sender, request, deadline).await?;
         if !response.status().is_success() {
             return Err(http_link::refusal(response, deadline).await);
--- a/crates/guava-outside/src/http_link.rs
+++ b/crates/guava-outside/src/http_link.rs
@@ -26,9 +26,9 @@
 /// Header in which an engine that refuses a version names the version that it has loaded.
 pub const LOADED_HEADER: &str = "x-loaded-version";
 /// Header that announces an upstream's rate limit: requests per second from all daemons together.
-const UPSTREAM_LIMIT: HeaderName = HeaderName::from_static("upstream-limit");
+const UPSTREAM_LIMIT_HEADER: HeaderName = HeaderName::from_static("upstream-limit");
 /// Header in which an upstream announces that it is leaving.
-const UPSTREAM_LEAVING: HeaderName = HeaderName::from_static("upstream-leaving");
+const UPSTREAM_LEAVING_HEADER: HeaderName = HeaderName::from_static("upstream-leaving");
 /// Largest JSON answer accepted from an external service, in bytes.
 const MAX_JSON_BYTES: usize = 64 << 20;
 
@@ -45,13 +45,13 @@
         reason: Box<str>,
     },
     /// The deadline passed; the request may have reached the server.
-    #[snafu(display("no answer in time while {waiting_for}"))]
+    #[snafu(display("timed out while {waiting_for}"))]
     TimedOut {
         /// The step that did not complete in time.
         waiting_for: &'static str,
     },
-    /// The connection broke; the request may have reached the server.
-    #[snafu(display("connection broke: {source}"))]
+    /// The connection was interrupted; the request may have reached the server.
+    #[snafu(display("connection interrupted: {source}"))]
     Broken {
         /// Error of the HTTP library.
         source: hyper::Error,
@@ -63,7 +63,7 @@
         source: http::Error,
     },
     /// The answer's body exceeds the limit.
-    #[snafu(display("answer is over {limit} bytes"))]
+    #[snafu(display("answer exceeds {limit} bytes"))]
     TooLarge {
         /// Largest accepted size, in bytes.
         limit: usize,
@@ -95,18 +95,18 @@
     }
 }
 
-static SOURCE: OnceLock<IpAddr> = OnceLock::new();
+static SOURCE_ADDRESS: OnceLock<IpAddr> = OnceLock::new();
 
 /// Sets the source address of this process's connections; later calls have no effect.
 ///
 /// A VM may have several addresses, and the networks between data centres filter by source address.
 pub fn set_source(address: IpAddr) {
-    SOURCE.get_or_init(|| address);
+    SOURCE_ADDRESS.get_or_init(|| address);
 }
 
 async fn open(address: SocketAddr) -> std::io::Result<TcpStream> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-    if let Some(source) = SOURCE.get() {
+    if let Some(source) = SOURCE_ADDRESS.get() {
         socket.bind(SocketAddr::new(*source, 0))?;
     }
     let stream = socket.connect(address).await?;
@@ -171,10 +171,11 @@
 ) -> Result<Bytes, HttpError> {
     let mut bytes = BytesMut::new();
     loop {
-        let left = deadline.time_left();
+        let remaining = deadline.time_left();
         let waiting_for = "reading the answer";
-        let frame =
-            timeout(left, body.frame()).await.map_err(|_| HttpError::TimedOut { waiting_for })?;
+        let frame = timeout(remaining, body.frame())
+            .await
+            .map_err(|_| HttpError::TimedOut { waiting_for })?;
         let Some(frame) = frame else { return Ok(bytes.freeze()) };
         if let Ok(data) = frame.context(BrokenSnafu)?.into_data() {
             ensure!(bytes.len() + data.len() <= limit, TooLargeSnafu { limit });
@@ -204,8 +205,8 @@
     let headers = response.headers();
     let values = |name: &HeaderName| headers.get_all(name).iter().map(HeaderValue::as_bytes);
     let mut announcements = UpstreamAnnouncements::default();
-    announcements.read_limit(values(&UPSTREAM_LIMIT));
-    announcements.read_leaving(values(&UPSTREAM_LEAVING));
+    announcements.read_limit(values(&UPSTREAM_LIMIT_HEADER));
+    announcements.read_leaving(values(&UPSTREAM_LEAVING_HEADER));
     let is_refusal = matches!(
         response.status(),
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS
@@ -269,7 +270,7 @@
     exchange_json(address, request, deadline).await
 }
 
-/// The earlier of a deadline and the moment `millis` milliseconds from now.
-pub(crate) fn earlier_of(deadline: Deadline, millis: u64) -> Deadline {
-    deadline.earlier(Deadline::after(Moment::now(), millis))
+/// The earlier of a deadline and the moment `limit_ms` milliseconds from now.
+pub(crate) fn capped_deadline(deadline: Deadline, limit_ms: u64) -> Deadline {
+    deadline.earlier(Deadline::after(Moment::now(), limit_ms))
 }
--- a/crates/guava-outside/src/plain_service.rs
+++ b/crates/guava-outside/src/plain_service.rs
@@ -49,7 +49,8 @@
 }
 
 impl ServiceClient {
-    /// Makes one call, sent at most once; `HttpError::may_have_run` tells whether it may have run after an error.
+    /// Makes one call, sent at most once. After an error, `HttpError::may_have_run` tells whether
+    /// the call may have run.
     pub async fn call(
         &self,
         call: &ServiceCall,
@@ -71,8 +72,8 @@
                 headers.insert(name, value);
             }
         }
-        let connecting = http_link::earlier_of(deadline, CONNECT_TIMEOUT_MS);
-        let sender = http_link::connect(self.address, connecting).await?;
+        let connect_deadline = http_link::capped_deadline(deadline, CONNECT_TIMEOUT_MS);
+        let sender = http_link::connect(self.address, connect_deadline).await?;
         let response = http_link::send(sender, request, deadline).await?;
         let status = response.status();
         let announcements = http_link::upstream_announcements(&response);
