--- a/crates/guava-serve/src/request/attempt.rs
+++ b/crates/guava-serve/src/request/attempt.rs
@@ -1,6 +1,7 @@
-//! One send of a request to one upstream, up to its answer or its stream's first event.
+//! One attempt: sends a request to one upstream and waits for the complete answer or, for a stream,
+//! for the first event.
 
-use crate::arrival::until;
+use crate::deadline_wait::until;
 use crate::events;
 use crate::parts::store_links::FetchTicket;
 use crate::request::accepted_request::AcceptedRequest;
@@ -27,12 +28,12 @@
 use std::rc::Rc;
 use tokio::time::timeout;
 
-/// Largest answer that is not a stream, in bytes.
-const LARGEST_ANSWER: usize = 8 << 20;
-/// Longest wait for the rest of a refusal, so that its connection can be kept, in milliseconds.
-const REFUSAL_BODY_MS: u64 = 20;
+/// Maximum size of an answer that is not a stream.
+const MAX_ANSWER_BYTES: usize = 8 << 20;
+/// Timeout for reading a refusal's body, without which its connection can't be reused.
+const REFUSAL_BODY_TIMEOUT_MS: u64 = 20;
 
-/// Work at an upstream; over when this is dropped.
+/// Registers a request as in flight at an upstream, until the guard is dropped.
 pub struct WorkGuard {
     context: Rc<ServeContext>,
     ticket: WorkTicket,
@@ -41,7 +42,8 @@
 }
 
 impl WorkGuard {
-    /// Notes work from now on.
+    /// Registers the attempt in the work table. Also registers its fetch of prompt parts from
+    /// stores, if there is one, and a long prompt with the memory budget.
     pub fn begin(context: &Rc<ServeContext>, plan: &AttemptPlan) -> Self {
         let now = Moment::now();
         let ticket = context.work.borrow_mut().begin(&plan.send.upstream, &plan.load, now);
@@ -53,7 +55,7 @@
         Self { context: Rc::clone(context), ticket, fetch, is_long: plan.is_long }
     }
 
-    fn started(&mut self) {
+    fn note_started(&mut self) {
         let now = Moment::now();
         self.context.work.borrow_mut().started(&self.ticket, now);
         if std::mem::take(&mut self.is_long) {
@@ -68,7 +70,7 @@
 impl Drop for WorkGuard {
     fn drop(&mut self) {
         let now = Moment::now();
-        self.context.work.borrow_mut().end(&self.ticket, now);
+        self.context.work.borrow_mut().note_finished(&self.ticket, now);
         if self.is_long {
             self.context.memory_budget.borrow_mut().dropped(self.ticket.number(), now);
         }
@@ -78,31 +80,31 @@
     }
 }
 
-/// An answer that came whole.
-pub struct WholeAnswer {
-    /// Status.
+/// An answer that was received completely.
+pub struct CompleteAnswer {
+    /// Status as the upstream sent it.
     pub status: StatusCode,
-    /// Head.
+    /// Headers, without those that concern only the upstream's connection.
     pub headers: HeaderMap,
-    /// Body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// A stream whose first event is in.
+/// A stream whose first event has been received.
 pub struct OpenStream {
-    /// Status.
+    /// Status as the upstream sent it.
     pub status: StatusCode,
-    /// Head.
+    /// Headers, without those that concern only the upstream's connection.
     pub headers: HeaderMap,
-    /// The first events.
+    /// The first events; empty if the stream ended without any.
     pub first: EventBatch,
-    /// Where the rest comes from.
+    /// Source of the remaining events.
     pub source: StreamSource,
 }
 
-/// Where a stream's events come from.
+/// The upstream connection that a stream's events are read from.
 pub struct StreamSource {
-    /// Which upstream.
+    /// The upstream that sends the stream.
     pub upstream: UpstreamId,
     body: Incoming,
     framer: EventFramer,
@@ -111,73 +113,76 @@
     work: WorkGuard,
 }
 
-/// What a stream brings next.
+/// Result of reading from a stream.
 pub enum StreamStep {
-    /// Whole events.
+    /// One or more complete events.
     Events(EventBatch),
-    /// Its end.
+    /// The stream ended at an event boundary.
     End,
-    /// It broke off.
-    Broken(Box<str>),
+    /// The stream was interrupted, for the reason given.
+    Interrupted(Box<str>),
 }
 
-/// How a send ended.
-pub enum AttemptEnd {
-    /// With a whole answer.
-    Whole(WholeAnswer),
-    /// With a stream.
+/// Result of an attempt.
+pub enum AttemptOutcome {
+    /// The upstream answered completely.
+    Complete(CompleteAnswer),
+    /// The upstream opened a stream.
     Stream(Box<OpenStream>),
-    /// No byte was written.
+    /// Not sent: no byte was written to the upstream.
     NotSent,
-    /// No byte was written: it may get nothing any more since it was chosen.
+    /// Not sent: the upstream was closed after it had been chosen.
     Closed,
-    /// The upstream says that it did not run it.
+    /// The upstream states that it did not run the request.
     Refused,
-    /// It did not run it since it has other weights than expected, which are known now.
+    /// The engine did not run the request because its weights differ from the expected ones.
+    /// Another version can now be requested from it.
     OtherWeights,
-    /// Given up for another upstream, whose try is paid for; it may have run.
+    /// Abandoned in favour of another upstream, with a retry already taken from the budget. The
+    /// request may have run.
     Abandoned,
-    /// It may have run, and there is no answer.
+    /// The request may have run, and no answer will come.
     Lost,
-    /// Nobody waits any more, and it may have run.
+    /// The request's deadline passed without an answer. It may have run.
     TimedOut,
 }
 
-/// Result of a wait that is bounded by patience and deadline.
-enum Waited<T> {
+/// Result of a wait that is bounded by the answer timeout and the deadline.
+enum WaitOutcome<T> {
     Done(T),
     Abandoned,
     TimedOut,
 }
 
-/// Waits within the plan's patience. Another try is placed and paid for before this one is given
-/// up: without that, a slow answer would turn into none.
-async fn wait_for<T>(
+/// Waits for part of an answer, until the deadline at most. After the answer timeout the attempt is
+/// abandoned only if another upstream can take the request and the budget allows a retry: otherwise
+/// a slow answer would become no answer.
+async fn wait_for_answer<T>(
     input: PlanInput<'_>,
     plan: &AttemptPlan,
     future: impl Future<Output = T>,
-) -> Waited<T> {
+) -> WaitOutcome<T> {
     let mut future = std::pin::pin!(future);
     if let Some(answer_timeout) = plan.answer_timeout {
         let first = answer_timeout.earlier(plan.deadline);
         if let Some(done) = until(first, &mut future).await {
-            return Waited::Done(done);
+            return WaitOutcome::Done(done);
         }
-        let is_over = plan.deadline.passed(Moment::now());
-        if !is_over
+        let is_timed_out = plan.deadline.passed(Moment::now());
+        if !is_timed_out
             && has_available_upstream(input)
             && input.context.retries.borrow_mut().spend(&plan.service.name)
         {
-            return Waited::Abandoned;
+            return WaitOutcome::Abandoned;
         }
     }
     match until(plan.deadline, &mut future).await {
-        Some(done) => Waited::Done(done),
-        None => Waited::TimedOut,
+        Some(done) => WaitOutcome::Done(done),
+        None => WaitOutcome::TimedOut,
     }
 }
 
-/// A request and its plan, as the steps of one send see them.
+/// Data that the steps of one attempt share.
 struct Attempt<'a> {
     context: &'a Rc<ServeContext>,
     request: &'a AcceptedRequest,
@@ -185,70 +190,71 @@
     input: PlanInput<'a>,
 }
 
-/// Sends a request once.
+/// Sends a request once, according to the plan, and counts the outcome in the metrics.
 pub async fn attempt(
     context: &Rc<ServeContext>,
     input: PlanInput<'_>,
     plan: &AttemptPlan,
-) -> AttemptEnd {
+) -> AttemptOutcome {
     let attempt = Attempt { context, request: input.request, plan, input };
-    let end = attempt.run().await;
-    context.metrics.count_send(match end {
-        AttemptEnd::Whole(_) | AttemptEnd::Stream(_) => "answered",
-        AttemptEnd::NotSent => "not-sent",
-        AttemptEnd::Closed => "closed",
-        AttemptEnd::Refused => "refused",
-        AttemptEnd::OtherWeights => "other-weights",
-        AttemptEnd::Abandoned => "abandoned",
-        AttemptEnd::Lost => "lost",
-        AttemptEnd::TimedOut => "timed-out",
+    let outcome = attempt.run().await;
+    context.metrics.count_send(match outcome {
+        AttemptOutcome::Complete(_) | AttemptOutcome::Stream(_) => "answered",
+        AttemptOutcome::NotSent => "not-sent",
+        AttemptOutcome::Closed => "closed",
+        AttemptOutcome::Refused => "refused",
+        AttemptOutcome::OtherWeights => "other-weights",
+        AttemptOutcome::Abandoned => "abandoned",
+        AttemptOutcome::Lost => "lost",
+        AttemptOutcome::TimedOut => "timed-out",
     });
-    end
+    outcome
 }
 
 impl Attempt<'_> {
-    async fn run(&self) -> AttemptEnd {
+    async fn run(&self) -> AttemptOutcome {
         let send = &self.plan.send;
         let was_idle = self.context.work.borrow().is_idle(&send.upstream, Moment::now());
-        // Listed from the choice on, so that choices made meanwhile see it.
+        // Registered before connecting, so that concurrent choices of an upstream count it.
         let work = WorkGuard::begin(self.context, self.plan);
-        let Some(mut connection) = self.connect().await else { return AttemptEnd::NotSent };
-        // The upstream may have left while the connection was opened.
+        let Some(mut connection) = self.connect().await else { return AttemptOutcome::NotSent };
+        // The upstream may have been removed from the list while the connection was opened.
         await_fresh_list(self.context).await;
         let gate = pass_gate(self.context, &self.plan.service, &send.upstream, Moment::now());
         if let GateState::Closed(closed) = gate {
             self.note_closed(connection, closed.reason);
-            return AttemptEnd::Closed;
+            return AttemptOutcome::Closed;
         }
-        let mut fresh = send.clone();
-        fresh.left_ms = self.plan.deadline.millis_left(Moment::now());
-        if fresh.left_ms == 0 {
-            return AttemptEnd::NotSent;
+        let mut current_send = send.clone();
+        current_send.left_ms = self.plan.deadline.millis_left(Moment::now());
+        if current_send.left_ms == 0 {
+            return AttemptOutcome::NotSent;
         }
         let sent = Moment::now();
-        let encoded = (self.context.dialect.encode)(self.request, &fresh);
-        let answer = match wait_for(self.input, self.plan, connection.exchange(encoded)).await {
-            Waited::Done(Ok(answer)) => answer,
-            Waited::Done(Err(error)) => return self.failed(&error),
-            Waited::Abandoned => return self.given_up(AttemptEnd::Abandoned),
-            Waited::TimedOut => return self.given_up(AttemptEnd::TimedOut),
-        };
+        let encoded = (self.context.dialect.encode)(self.request, &current_send);
+        let answer =
+            match wait_for_answer(self.input, self.plan, connection.exchange(encoded)).await {
+                WaitOutcome::Done(Ok(answer)) => answer,
+                WaitOutcome::Done(Err(error)) => return self.failed(&error),
+                WaitOutcome::Abandoned => return self.unanswered(AttemptOutcome::Abandoned),
+                WaitOutcome::TimedOut => return self.unanswered(AttemptOutcome::TimedOut),
+            };
         let marks = (self.context.dialect.marks)(answer.status(), answer.headers());
         self.note_announcements(&marks, sent);
-        // An answer to an earlier request on this connection, or a second one.
+        // The upstream answered an earlier request on this connection, or answered one twice.
         if marks.request.as_deref().is_some_and(|answered| answered != &*self.request.id) {
             return self.lost("the answer belongs to another request");
         }
         if marks.is_not_run {
-            let end = self.note_refusal(&marks, answer.status());
-            self.keep_after(connection, answer, &marks).await;
-            return end;
+            let outcome = self.note_refusal(&marks, answer.status());
+            self.recycle_connection(connection, answer, &marks).await;
+            return outcome;
         }
         let is_stream = self.request.route.repeat.is_stream();
         if is_stream && answer.status() == StatusCode::OK {
             self.open_stream(connection, answer, marks, work, was_idle.then_some(sent)).await
         } else {
-            self.read_whole(connection, answer, marks, work).await
+            self.read_complete(connection, answer, marks, work).await
         }
     }
 
@@ -256,7 +262,7 @@
         self.context.pool.keep(connection, None);
         log_event!(
             info,
-            events::SEND_HELD_BACK,
+            events::SEND_BLOCKED,
             request = self.request.id,
             upstream = self.plan.send.upstream,
             reason = reason
@@ -279,7 +285,7 @@
         }
     }
 
-    fn failed(&self, error: &ExchangeError) -> AttemptEnd {
+    fn failed(&self, error: &ExchangeError) -> AttemptOutcome {
         let upstream = &self.plan.send.upstream;
         self.note_failure(&error.to_string());
         match error {
@@ -287,29 +293,29 @@
                 if *is_refused {
                     note_refused(self.context, upstream);
                 }
-                AttemptEnd::NotSent
+                AttemptOutcome::NotSent
             }
             ExchangeError::NoAnswer { .. } => {
                 note_interrupted(self.context, upstream, self.request.digest());
-                AttemptEnd::Lost
+                AttemptOutcome::Lost
             }
         }
     }
 
-    /// The connection ended before the answer was whole.
-    fn broken(&self, reason: &str) -> AttemptEnd {
+    /// Records a connection that broke before the answer was complete.
+    fn interrupted(&self, reason: &str) -> AttemptOutcome {
         note_interrupted(self.context, &self.plan.send.upstream, self.request.digest());
         self.lost(reason)
     }
 
-    fn lost(&self, reason: &str) -> AttemptEnd {
+    fn lost(&self, reason: &str) -> AttemptOutcome {
         self.note_failure(reason);
-        AttemptEnd::Lost
+        AttemptOutcome::Lost
     }
 
-    fn given_up(&self, end: AttemptEnd) -> AttemptEnd {
+    fn unanswered(&self, outcome: AttemptOutcome) -> AttemptOutcome {
         self.note_failure("no answer in time");
-        end
+        outcome
     }
 
     fn note_failure(&self, reason: &str) {
@@ -325,32 +331,32 @@
         );
     }
 
-    /// Takes in what the upstream says of itself; what another one at its address says is not its word.
+    /// Records the upstream's announcements, unless another upstream answered at its address.
     fn note_announcements(&self, marks: &AnswerMarks, sent: Moment) {
-        if !self.is_others(marks) {
+        if !self.is_from_other(marks) {
             note_announcements(self.context, &self.plan.send.upstream, &marks.announcements, sent);
         }
     }
 
-    /// Whether another upstream answered.
-    fn is_others(&self, marks: &AnswerMarks) -> bool {
+    /// Whether the answer names another upstream than the one that the request was sent to.
+    fn is_from_other(&self, marks: &AnswerMarks) -> bool {
         let name = self.plan.send.upstream.name();
         marks.instance.as_deref().is_some_and(|other| other != name)
     }
 
-    fn note_refusal(&self, marks: &AnswerMarks, status: StatusCode) -> AttemptEnd {
-        let mut end = AttemptEnd::Refused;
+    fn note_refusal(&self, marks: &AnswerMarks, status: StatusCode) -> AttemptOutcome {
+        let mut outcome = AttemptOutcome::Refused;
         let upstream = &self.plan.send.upstream;
-        let is_other = self.is_others(marks);
+        let is_other = self.is_from_other(marks);
         if marks.is_unexpected && is_other {
             self.context.upstreams.borrow_mut().note_replaced(upstream);
         } else if marks.is_unexpected {
-            if self.note_weights(marks) {
-                end = AttemptEnd::OtherWeights;
+            if self.note_other_weights(marks) {
+                outcome = AttemptOutcome::OtherWeights;
             }
         } else {
-            // Full, or loading weights: others are cheaper for a moment.
-            let until = Deadline::in_millis(LOADING_GUESS_MS);
+            // It is full or loading weights, so other upstreams are preferred for a short time.
+            let until = Deadline::in_millis(LOADING_ESTIMATE_MS);
             self.context.upstreams.borrow_mut().note_loading(upstream, until);
         }
         log_event!(
@@ -361,13 +367,14 @@
             status = status.as_u16(),
             other = is_other
         );
-        end
+        outcome
     }
 
-    /// Takes note that an engine has other weights than expected: those that it names, or one of the
-    /// published that it has not refused. Without that it would be asked for the old ones, and
-    /// refuse, until the list says so a second later. Whether another version may be asked for.
-    fn note_weights(&self, marks: &AnswerMarks) -> bool {
+    /// Records that an engine has other weights than expected: the version that it names or, if it
+    /// names none, one of the published versions that it has not refused. Otherwise requests would
+    /// keep asking for the old version and be refused until the list is updated, a second later.
+    /// Returns whether another version can be requested from it.
+    fn note_other_weights(&self, marks: &AnswerMarks) -> bool {
         let Some((model, expected)) = self.expected_weights() else { return false };
         let upstream = &self.plan.send.upstream;
         let mut upstreams = self.context.upstreams.borrow_mut();
@@ -386,7 +393,7 @@
         Some((model, self.plan.send.engine.as_ref()?.version))
     }
 
-    /// An engine that runs a request has the weights that were asked for.
+    /// Records that an engine which runs the request has the version that was asked for.
     fn confirm_weights(&self) {
         if let Some((model, version)) = self.expected_weights() {
             let mut upstreams = self.context.upstreams.borrow_mut();
@@ -394,42 +401,42 @@
         }
     }
 
-    /// Reads a refusal's short body, so that the connection can be used again.
-    async fn keep_after(
+    /// Reads a refusal's short body and returns a reusable connection to the pool.
+    async fn recycle_connection(
         &self,
         connection: UpstreamConnection,
         answer: Response<Incoming>,
         marks: &AnswerMarks,
     ) {
-        let limit = std::time::Duration::from_millis(REFUSAL_BODY_MS);
+        let limit = std::time::Duration::from_millis(REFUSAL_BODY_TIMEOUT_MS);
         let read = timeout(limit, answer.into_body().collect()).await;
         if matches!(read, Ok(Ok(_))) && !marks.is_last && marks.is_framed {
             self.context.pool.keep(connection, marks.idle_limit_ms);
         }
     }
 
-    async fn read_whole(
+    async fn read_complete(
         &self,
         connection: UpstreamConnection,
         answer: Response<Incoming>,
         marks: AnswerMarks,
         mut work: WorkGuard,
-    ) -> AttemptEnd {
+    ) -> AttemptOutcome {
         let (head, body) = answer.into_parts();
-        let body = match wait_for(self.input, self.plan, collect(body)).await {
-            Waited::Done(Some(body)) => body,
-            Waited::Done(None) => return self.broken("the answer broke off"),
-            Waited::Abandoned => return self.given_up(AttemptEnd::Abandoned),
-            Waited::TimedOut => return self.given_up(AttemptEnd::TimedOut),
+        let body = match wait_for_answer(self.input, self.plan, collect_body(body)).await {
+            WaitOutcome::Done(Some(body)) => body,
+            WaitOutcome::Done(None) => return self.interrupted("the answer was interrupted"),
+            WaitOutcome::Abandoned => return self.unanswered(AttemptOutcome::Abandoned),
+            WaitOutcome::TimedOut => return self.unanswered(AttemptOutcome::TimedOut),
         };
-        work.started();
+        work.note_started();
         note_answer(self.context, || self.request.digest());
         if !marks.is_last && marks.is_framed {
             self.context.pool.keep(connection, marks.idle_limit_ms);
         }
         let mut headers = head.headers;
         (self.context.dialect.strip)(&mut headers);
-        AttemptEnd::Whole(WholeAnswer { status: head.status, headers, body })
+        AttemptOutcome::Complete(CompleteAnswer { status: head.status, headers, body })
     }
 
     async fn open_stream(
@@ -438,35 +445,38 @@
         answer: Response<Incoming>,
         marks: AnswerMarks,
         work: WorkGuard,
-        sent_to_idle: Option<Moment>,
-    ) -> AttemptEnd {
+        sent_while_idle: Option<Moment>,
+    ) -> AttemptOutcome {
         let (head, body) = answer.into_parts();
         let upstream = self.plan.send.upstream.clone();
         let framer = EventFramer::default();
         let mut source = StreamSource { upstream, body, framer, connection, marks, work };
-        // The head is held back until an event is there: until then another upstream may answer.
-        let first = match wait_for(self.input, self.plan, source.next()).await {
-            Waited::Done(StreamStep::Events(batch)) => batch,
-            Waited::Done(StreamStep::End) => EventBatch { bytes: Bytes::new(), last_id: None },
-            Waited::Done(StreamStep::Broken(reason)) => return self.broken(&reason),
-            Waited::Abandoned => return self.given_up(AttemptEnd::Abandoned),
-            Waited::TimedOut => return self.given_up(AttemptEnd::TimedOut),
+        // The headers are withheld until the first event: until then another upstream may answer.
+        let first = match wait_for_answer(self.input, self.plan, source.next_step()).await {
+            WaitOutcome::Done(StreamStep::Events(batch)) => batch,
+            WaitOutcome::Done(StreamStep::End) => EventBatch { bytes: Bytes::new(), last_id: None },
+            WaitOutcome::Done(StreamStep::Interrupted(reason)) => return self.interrupted(&reason),
+            WaitOutcome::Abandoned => return self.unanswered(AttemptOutcome::Abandoned),
+            WaitOutcome::TimedOut => return self.unanswered(AttemptOutcome::TimedOut),
         };
-        source.work.started();
+        source.work.note_started();
         self.confirm_weights();
-        self.learn(sent_to_idle);
+        self.note_prefill_time(sent_while_idle);
         let mut headers = head.headers;
         (self.context.dialect.strip)(&mut headers);
-        AttemptEnd::Stream(Box::new(OpenStream { status: head.status, headers, first, source }))
+        AttemptOutcome::Stream(Box::new(OpenStream { status: head.status, headers, first, source }))
     }
 
-    /// Learns how fast engines read from a prompt that had nothing before it.
-    fn learn(&self, sent_to_idle: Option<Moment>) {
-        let is_plain = self.plan.send.engine.as_ref().is_some_and(|o| o.fetch_until_ms.is_none());
-        if let Some(sent) = sent_to_idle.filter(|_| is_plain) {
+    /// Updates the engines' prefill rate from a prompt that was sent to an idle engine and fetches
+    /// no parts, so that its time to the first event was spent on reading the prompt.
+    fn note_prefill_time(&self, sent_while_idle: Option<Moment>) {
+        let has_no_fetch =
+            self.plan.send.engine.as_ref().is_some_and(|orders| orders.fetch_until_ms.is_none());
+        if let Some(sent) = sent_while_idle.filter(|_| has_no_fetch) {
             let elapsed = Moment::now().millis_since(sent);
-            let shown = self.context.prefill.borrow_mut().note(self.plan.load.prompt.0, elapsed);
-            if let Some(rate) = shown {
+            let measured_rate =
+                self.context.prefill.borrow_mut().note(self.plan.load.prompt.0, elapsed);
+            if let Some(rate) = measured_rate {
                 let speed = EngineSpeed { engine: self.plan.send.upstream.clone(), rate };
                 self.context.speeds.borrow_mut().note_own(speed, Moment::now());
             }
@@ -474,16 +484,16 @@
     }
 }
 
-/// How long an upstream that refused for want of room or weights is avoided, in milliseconds.
-const LOADING_GUESS_MS: u64 = 500;
+/// Time for which an upstream that refused a request counts as loading, and others are preferred.
+const LOADING_ESTIMATE_MS: u64 = 500;
 
-async fn collect(mut body: Incoming) -> Option<Bytes> {
+async fn collect_body(mut body: Incoming) -> Option<Bytes> {
     let mut bytes = BytesMut::new();
     while let Some(frame) = body.frame().await {
         if let Some(data) = frame.ok()?.data_ref() {
             bytes.extend_from_slice(data);
         }
-        if bytes.len() > LARGEST_ANSWER {
+        if bytes.len() > MAX_ANSWER_BYTES {
             return None;
         }
     }
@@ -491,37 +501,37 @@
 }
 
 impl StreamSource {
-    /// The next whole events.
-    pub async fn next(&mut self) -> StreamStep {
+    /// Reads until at least one more event is complete, or the stream ends or is interrupted.
+    pub async fn next_step(&mut self) -> StreamStep {
         loop {
-            if let Some(batch) = self.framer.take_whole() {
+            if let Some(batch) = self.framer.take_complete() {
                 return StreamStep::Events(batch);
             }
             match self.body.frame().await {
                 Some(Ok(frame)) => {
                     let data = frame.data_ref().map(|data| &data[..]).unwrap_or_default();
                     if !self.framer.push(data) {
-                        return StreamStep::Broken("an event is too large".into());
+                        return StreamStep::Interrupted("an event exceeds the size limit".into());
                     }
                 }
-                Some(Err(error)) => return StreamStep::Broken(error.to_string().into()),
-                None => return self.end(),
+                Some(Err(error)) => return StreamStep::Interrupted(error.to_string().into()),
+                None => return self.step_at_end(),
             }
         }
     }
 
-    fn end(&mut self) -> StreamStep {
-        if self.framer.is_clean() {
+    fn step_at_end(&mut self) -> StreamStep {
+        if self.framer.is_at_boundary() {
             return StreamStep::End;
         }
         if self.marks.is_framed {
-            let bytes = self.framer.take_rest();
+            let bytes = self.framer.take_remainder();
             return StreamStep::Events(EventBatch { bytes, last_id: None });
         }
-        StreamStep::Broken("the connection ended in the middle of an event".into())
+        StreamStep::Interrupted("the connection ended within an event".into())
     }
 
-    /// Gives the connection back after the stream's end.
+    /// Returns the connection to the pool after the stream's end, if it can be reused.
     pub fn finish(self, context: &ServeContext) {
         if !self.marks.is_last && self.marks.is_framed {
             context.pool.keep(self.connection, self.marks.idle_limit_ms);
