--- a/crates/guava-serve/src/lib.rs
+++ b/crates/guava-serve/src/lib.rs
@@ -1,10 +1,10 @@
-//! The request path: from an accepted request to the answer's last byte, whoever speaks to us.
+//! The request path: from an accepted request to the last byte of its answer.
 //!
-//! What varies between deployments is passed in as plain parts and a [`Dialect`]; what decides is
-//! plain functions over these parts, testable without a network.
+//! What differs between deployments is passed in as plain data and a [`Dialect`]. Decisions are made
+//! by functions of plain data, which can be tested without a network.
 
-mod arrival;
-mod config_intake;
+mod config_update;
+mod deadline_wait;
 pub mod events;
 mod members;
 mod metrics;
@@ -16,7 +16,7 @@
 mod upstreams;
 mod weights;
 
-pub use config_intake::apply_config;
+pub use config_update::apply_config;
 pub use members::list_change_gossip::ListChangeGossip;
 pub use members::lost_messages::{LostMessages, MessageLoss};
 pub use members::member_table::{MemberDescriptor, MemberTable};
@@ -53,7 +53,7 @@
 };
 pub use request::accepted_request::{AcceptedRequest, PromptPart, PromptShape, RequestHead};
 pub use request::admit::{AdmitRefusal, AdmittedCaller, HeldBytes, admit};
-pub use request::answer_body::{AnswerBody, BrokenStream};
+pub use request::answer_body::{AnswerBody, InterruptedStream};
 pub use request::answer_timeout::{first_answer_timeout_ms, return_after_ms};
 pub use request::dialect::{AnswerMarks, Dialect, EngineInstructions, SendPlan};
 pub use request::dispatch::serve_request;
@@ -94,7 +94,7 @@
 pub use upstreams::work_table::{ExpectedLoad, WorkShare, WorkTable, WorkTicket};
 pub use weights::order_task::OrderTask;
 pub use weights::rollout_state::{VersionRollout, is_salt_unreferenced};
-pub use weights::version_rollout::{RolloutEngine, loads_at_once, next_orders};
+pub use weights::version_rollout::{RolloutEngine, max_concurrent_loads, next_orders};
 pub use weights::version_targets::{
     VersionLimits, VersionTarget, VersionTargets, VersionUse, age_at_start,
 };
--- a/crates/guava-serve/src/request/answer_body.rs
+++ b/crates/guava-serve/src/request/answer_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer to a caller: whole, or relayed event by event.
+//! Body of an answer to a caller: complete, or relayed event by event.
 
 use bytes::Bytes;
 use futures_util::stream::{LocalBoxStream, StreamExt};
@@ -7,43 +7,43 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// A relayed stream that could not be brought to its end.
+/// A relayed stream was interrupted and could not be resumed.
 ///
-/// The connection to the caller is closed without the body's end, so that the answer can't be
-/// taken for a whole one.
+/// The connection to the caller is closed without the end of the body, so that the answer can't be
+/// mistaken for a complete one.
 #[derive(Debug, Snafu, Clone, PartialEq, Eq)]
-#[snafu(display("the stream broke off: {reason}"))]
-pub struct BrokenStream {
-    /// Why.
+#[snafu(display("stream interrupted: {reason}"))]
+pub struct InterruptedStream {
+    /// What interrupted it.
     pub reason: Box<str>,
 }
 
-/// A body on its way to a caller.
+/// Body of an answer to a caller.
 pub enum AnswerBody {
-    /// Known whole.
-    Whole(Option<Bytes>),
-    /// Passed on as it comes.
-    Relayed(LocalBoxStream<'static, Result<Bytes, BrokenStream>>),
+    /// All bytes are known; `None` if there are none or they were sent.
+    Complete(Option<Bytes>),
+    /// Bytes are relayed as they arrive.
+    Relayed(LocalBoxStream<'static, Result<Bytes, InterruptedStream>>),
 }
 
 impl AnswerBody {
-    /// A whole body.
-    pub fn whole(bytes: impl Into<Bytes>) -> Self {
+    /// Creates a body whose bytes are all known.
+    pub fn complete(bytes: impl Into<Bytes>) -> Self {
         let bytes = bytes.into();
-        Self::Whole((!bytes.is_empty()).then_some(bytes))
+        Self::Complete((!bytes.is_empty()).then_some(bytes))
     }
 }
 
 impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = BrokenStream;
+    type Error = InterruptedStream;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenStream>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, InterruptedStream>>> {
         match self.get_mut() {
-            Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
+            Self::Complete(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
             Self::Relayed(stream) => {
                 stream.poll_next_unpin(context).map(|next| next.map(|next| next.map(Frame::data)))
             }
@@ -51,12 +51,12 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Self::Whole(None))
+        matches!(self, Self::Complete(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => {
+            Self::Complete(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
             Self::Relayed(_) => SizeHint::default(),
--- a/crates/guava-serve/tests/send_gate.rs
+++ b/crates/guava-serve/tests/send_gate.rs
@@ -283,12 +283,12 @@
     drains.note(&drain(5, true), START);
 
     // The complete list of drained data centres at a later position is empty.
-    for notice in drains.notices_of(&[], 9) {
+    for notice in drains.notices_from_read(&[], 9) {
         drains.note(&notice, later(10));
     }
 
     assert!(!drains.is_drained(&"east".parse().unwrap()));
-    assert_eq!(drains.returned(&"east".parse().unwrap()), Some(later(10)));
+    assert_eq!(drains.undrained_since(&"east".parse().unwrap()), Some(later(10)));
 }
 
 #[test]
--- a/crates/guava-serve/tests/support/served.rs
+++ b/crates/guava-serve/tests/support/served.rs
@@ -1,4 +1,4 @@
-//! A daemon before scripted upstreams, and what its callers get.
+//! The request path with scripted upstreams, and the results that its callers get.
 
 use super::scripted::ScriptedUpstream;
 use super::upstream;
@@ -21,13 +21,13 @@
     announcements.read_limit(headers.get_all("x-limit").iter().map(|value| value.as_bytes()));
     announcements.read_leaving(headers.get_all("x-leaving").iter().map(|value| value.as_bytes()));
     if status.is_server_error() || status == StatusCode::TOO_MANY_REQUESTS {
-        let rests = headers.get_all("retry-after").iter().map(|value| value.as_bytes());
-        announcements.read_retry_after(rests, Moment::now());
+        let backoffs = headers.get_all("retry-after").iter().map(|value| value.as_bytes());
+        announcements.read_retry_after(backoffs, Moment::now());
     }
     announcements
 }
 
-/// A dialect whose headers begin with `x-`.
+/// A test dialect whose headers begin with `x-`.
 pub fn dialect() -> Dialect {
     Dialect {
         encode: |request, plan| {
@@ -58,7 +58,8 @@
     }
 }
 
-/// A daemon that knows these upstreams of the plain service, `u0` and so on.
+/// The serve context of a daemon that knows these upstreams of the plain service, as `u0`, `u1`,
+/// etc.
 pub fn context(upstreams: &[&ScriptedUpstream]) -> Rc<ServeContext> {
     let identity = ServeIdentity {
         name: "d1".parse().unwrap(),
@@ -82,42 +83,42 @@
     context
 }
 
-/// What a caller gets.
+/// Result of a request as its caller sees it.
 #[derive(Debug, PartialEq)]
-pub enum Got {
-    Answer { status: u16, body: String, is_whole: bool },
+pub enum CallerResult {
+    Answer { status: u16, body: String, is_complete: bool },
     NotRun,
     TimedOut,
     Lost,
 }
 
-/// Reads an outcome to its end.
-pub async fn read(outcome: ServeOutcome) -> Got {
+/// Reads an outcome's body to its end, or to the interruption of the stream.
+pub async fn read(outcome: ServeOutcome) -> CallerResult {
     let mut response = match outcome {
         ServeOutcome::Answered(response) => response,
         ServeOutcome::NotRun { return_after_ms, .. } => {
             assert!(return_after_ms > 0);
-            return Got::NotRun;
+            return CallerResult::NotRun;
         }
-        ServeOutcome::TimedOut => return Got::TimedOut,
-        ServeOutcome::Lost => return Got::Lost,
+        ServeOutcome::TimedOut => return CallerResult::TimedOut,
+        ServeOutcome::Lost => return CallerResult::Lost,
     };
     let status = response.status().as_u16();
     let mut body = Vec::new();
     while let Some(frame) = response.body_mut().frame().await {
         match frame {
             Ok(frame) => body.extend_from_slice(frame.data_ref().unwrap()),
-            Err(_) => return answer(status, body, false),
+            Err(_) => return caller_answer(status, body, false),
         }
     }
-    answer(status, body, true)
+    caller_answer(status, body, true)
 }
 
-pub fn answer(status: u16, body: Vec<u8>, is_whole: bool) -> Got {
-    Got::Answer { status, body: String::from_utf8(body).unwrap(), is_whole }
+pub fn caller_answer(status: u16, body: Vec<u8>, is_complete: bool) -> CallerResult {
+    CallerResult::Answer { status, body: String::from_utf8(body).unwrap(), is_complete }
 }
 
-/// Runs on one thread, as a daemon does.
+/// Runs a future on a single-threaded runtime, as a daemon does.
 pub fn run<F: Future>(future: F) -> F::Output {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, future)
